--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
@@ -18,27 +18,33 @@
 import org.quetzalshunt.server.http.HttpExchange;
 
 /**
- * Checks each request that arrived whole, in this order: freshness of the configuration, route, key, quarantine, store,
- * budget, quota. No route or key is rejected by a configuration that may be out of date.
+ * Decides whether a fully received request may run. The checks run in this order: age of the configuration, route, API
+ * key, quarantine, availability of the store, token budget, rate quota. A configuration that may be out of date never
+ * causes a rejection for an unknown route or key.
  */
 final class AdmissionPipeline {
-    /** Timeout assumed of a caller that states none. */
-    private static final long DEADLINE_UNSAID_MILLIS = 10_000;
+    /** Caller timeout assumed when the request states none. */
+    private static final long DEFAULT_CALLER_TIMEOUT_MILLIS = 10_000;
 
-    /** The priority of the routes that go first. */
-    private static final int MOST_URGENT = 0;
+    /** Priority of the most urgent routes; larger numbers are less urgent. */
+    private static final int HIGHEST_PRIORITY = 0;
 
-    /** A lost owner is replaced, or reconnected to, within about a second. */
-    private static final long NO_HOLDER_MILLIS = 300;
+    /**
+     * Retry-After when no holder of the quota answered: a lost owner is replaced or reconnected within about a second.
+     */
+    private static final long NO_HOLDER_RETRY_AFTER_MILLIS = 300;
 
-    /** Until a request that waits for a holder asks again: the time in which an owner acquires its shares. */
-    private static final long HOLDER_RETRY_MILLIS = 60;
+    /**
+     * Interval at which a queued request asks the quota holders again; a new owner acquires its shares in about this
+     * time.
+     */
+    private static final long HOLDER_RETRY_INTERVAL_MILLIS = 60;
 
-    /** A request that arrived whole. */
-    private record Arrival(HttpExchange exchange, CallerRequest request, long arrivedMillis) {
-        /** Time that its caller had left when it arrived. */
-        long leftMillis() {
-            return request.deadlineMillis().orElse(DEADLINE_UNSAID_MILLIS);
+    /** A fully received request that is not admitted yet. */
+    private record ReceivedRequest(HttpExchange exchange, CallerRequest request, long arrivedMillis) {
+        /** The caller's timeout, counted from the arrival of the request. */
+        long callerTimeoutMillis() {
+            return request.deadlineMillis().orElse(DEFAULT_CALLER_TIMEOUT_MILLIS);
         }
     }
 
@@ -50,11 +56,12 @@
         this.stopping = stopping;
     }
 
-    /** Takes a request; its answer comes now or later. */
+    /** Processes a request; the response is sent during this call or later. */
     void handle(HttpExchange exchange) {
         gateway.clock().check();
         if (stopping.getAsBoolean() || gateway.isolatedFromStore()) {
-            // A kept connection stays with this VM; the next one that its caller opens goes to a VM that is ready.
+            // Closing a persistent connection moves its caller to another VM, since the balancer opens new ones only to
+            // ready VMs.
             exchange.closeAfterAnswer();
         }
         Optional<CallerRequest> request = gateway.dialect().request(exchange);
@@ -62,42 +69,45 @@
             refuse(exchange, "", Refusal.notRun(ResultCode.MALFORMED_REQUEST, "the request has no id"));
             return;
         }
-        authenticate(new Arrival(exchange, request.get(), gateway.clock().now()));
+        authenticate(
+                new ReceivedRequest(exchange, request.get(), gateway.clock().now()));
     }
 
-    private void authenticate(Arrival arrival) {
-        CallerRequest request = arrival.request();
-        Optional<TrafficConfiguration> known = gateway.configuration().current();
-        if (known.isEmpty()) {
-            if (!awaitRecovery(arrival, () -> gateway.configuration().current().isPresent())) {
-                refuse(arrival, elsewhere(arrival, ResultCode.NOT_READY, "no configuration yet"));
+    private void authenticate(ReceivedRequest received) {
+        CallerRequest request = received.request();
+        Optional<TrafficConfiguration> current = gateway.configuration().current();
+        if (current.isEmpty()) {
+            if (!awaitRecovery(received, () -> gateway.configuration().current().isPresent())) {
+                refuse(received, refusalWithRetry(received, ResultCode.NOT_READY, "no configuration yet"));
             }
             return;
         }
-        TrafficConfiguration configuration = known.get();
+        TrafficConfiguration configuration = current.get();
         Optional<Route> route = configuration.routes().find(request.host(), request.path());
         boolean open = route.filter(Route::open).isPresent();
         if (!isCurrent() && configuration.keysRequired() && !open) {
-            if (!awaitRecovery(arrival, this::isCurrent)) {
-                refuse(arrival, elsewhere(arrival, ResultCode.CONFIGURATION_STALE, "the configuration is too old"));
+            if (!awaitRecovery(received, this::isCurrent)) {
+                refuse(
+                        received,
+                        refusalWithRetry(received, ResultCode.CONFIGURATION_STALE, "the configuration is too old"));
             }
             return;
         }
         if (route.isEmpty()) {
-            refuse(arrival, Refusal.notRun(ResultCode.UNKNOWN_PATH, "no route"));
+            refuse(received, Refusal.notRun(ResultCode.UNKNOWN_PATH, "no route"));
             return;
         }
         Optional<AccountTerms> account = request.key().flatMap(configuration::accountOf);
         if (configuration.keysRequired() && !open && account.isEmpty()) {
             ResultCode code = request.key().isEmpty() ? ResultCode.MISSING_KEY : ResultCode.UNKNOWN_KEY;
-            refuse(arrival, Refusal.notRun(code, "version " + configuration.version()));
+            refuse(received, Refusal.notRun(code, "checked against configuration version " + configuration.version()));
             return;
         }
-        if (arrival.exchange().body().length > configuration.limits().maximumBodyBytes()) {
-            refuse(arrival, Refusal.notRun(ResultCode.BODY_TOO_LARGE, "see the limits"));
+        if (received.exchange().body().length > configuration.limits().maximumBodyBytes()) {
+            refuse(received, Refusal.notRun(ResultCode.BODY_TOO_LARGE, "larger than the configured maximum body size"));
             return;
         }
-        admit(arrival, configuration, route.get(), account);
+        admit(received, configuration, route.get(), account);
     }
 
     private boolean isCurrent() {
@@ -105,52 +115,53 @@
     }
 
     /**
-     * Queues a request until an outage that affects all VMs ends, for a part of its time; false when it has waited already,
-     * or a retry at another VM is more likely to succeed.
+     * Queues a request until an outage that affects all VMs ends, for part of the caller's timeout. Returns false when
+     * that time is used up, or when a retry at another VM is more likely to succeed.
      */
-    private boolean awaitRecovery(Arrival arrival, BooleanSupplier ready) {
-        long until = arrival.arrivedMillis() + OutageWaitPolicy.maximumWaitMillis(arrival.leftMillis());
-        boolean useful = gateway.settings().policy().has(Mechanism.OUTAGE_WAIT)
+    private boolean awaitRecovery(ReceivedRequest received, BooleanSupplier ready) {
+        long until = received.arrivedMillis() + OutageWaitPolicy.maximumWaitMillis(received.callerTimeoutMillis());
+        boolean worthWaiting = gateway.settings().policy().has(Mechanism.OUTAGE_WAIT)
                 && !stopping.getAsBoolean()
                 && !gateway.isolatedFromStore()
                 && gateway.clock().now() < until;
-        if (!useful) {
+        if (!worthWaiting) {
             return false;
         }
-        boolean mayBegin = arrival.request().previousTurn().isEmpty();
-        BooleanSupplier over = () -> ready.getAsBoolean() || gateway.isolatedFromStore();
-        return gateway.recovery().offer(new RecoveryQueue.Waiting(mayBegin, until, over, () -> resume(arrival)));
+        boolean mayBeginProgram = received.request().previousTurn().isEmpty();
+        BooleanSupplier recovered = () -> ready.getAsBoolean() || gateway.isolatedFromStore();
+        return gateway.recovery()
+                .offer(new RecoveryQueue.Waiting(mayBeginProgram, until, recovered, () -> resume(received)));
     }
 
-    private void resume(Arrival arrival) {
-        if (arrival.exchange().finished()) {
-            refuse(arrival, Refusal.notRun(ResultCode.CANCELLED, "the caller left"));
+    private void resume(ReceivedRequest received) {
+        if (received.exchange().finished()) {
+            refuse(received, Refusal.notRun(ResultCode.CANCELLED, "the caller left"));
             return;
         }
-        authenticate(arrival);
+        authenticate(received);
     }
 
     private void admit(
-            Arrival arrival, TrafficConfiguration configuration, Route route, Optional<AccountTerms> account) {
-        CallerRequest request = arrival.request();
+            ReceivedRequest received, TrafficConfiguration configuration, Route route, Optional<AccountTerms> account) {
+        CallerRequest request = received.request();
         ServiceEntry service = configuration
                 .services()
                 .get(route.serviceFor(request.program().orElse(request.id()).hashCode()));
         if (service == null) {
-            refuse(arrival, elsewhere(arrival, ResultCode.NO_ENDPOINT, "the service is not configured"));
+            refuse(received, refusalWithRetry(received, ResultCode.NO_ENDPOINT, "the service is not configured"));
             return;
         }
-        long deadline = arrival.arrivedMillis() + Math.min(route.timeoutMillis(), arrival.leftMillis());
+        long deadline = received.arrivedMillis() + Math.min(route.timeoutMillis(), received.callerTimeoutMillis());
         AdmittedRequest admitted = new AdmittedRequest(
-                arrival.exchange(),
+                received.exchange(),
                 request,
                 route,
                 service,
                 account,
                 configuration.version(),
-                arrival.arrivedMillis(),
+                received.arrivedMillis(),
                 deadline,
-                new RequestTimeline(gateway.clock(), arrival.arrivedMillis()),
+                new RequestTimeline(gateway.clock(), received.arrivedMillis()),
                 gateway.endpoints().mayCache(gateway.clock().now(), service.name(), request.prefixParts()));
         if (gateway.crashes().quarantined(admitted)) {
             Refusal refusal =
@@ -158,42 +169,45 @@
             Outcome.refuse(gateway, admitted, refusal, Optional.empty());
             return;
         }
-        if (lacksMap(admitted)) {
-            // The turn could not be granted or not be kept; run, its work would be lost.
-            if (!awaitRecovery(arrival, () -> !gateway.map().unavailable())) {
-                Refusal refusal = elsewhere(arrival, ResultCode.LOG_UNAVAILABLE, "the store is unavailable");
+        if (needsUnavailableStore(admitted)) {
+            // Without the store, the turn could not get a token grant or be stored after its run, so its work would be
+            // lost.
+            if (!awaitRecovery(received, () -> !gateway.map().unavailable())) {
+                Refusal refusal = refusalWithRetry(received, ResultCode.LOG_UNAVAILABLE, "the store is unavailable");
                 Outcome.refuse(gateway, admitted, refusal, Optional.empty());
             }
             return;
         }
-        Optional<BudgetManager.Verdict.Exhausted> spent = spent(admitted);
-        if (spent.isPresent()) {
-            // Before a token of the rate is taken: a program that loops must not spend its account's rate as well.
-            Outcome.refuse(gateway, admitted, StreamForwarder.exhaustedRefusal(spent.get()), Optional.empty());
+        Optional<BudgetManager.Verdict.Exhausted> exhausted = exhaustedBudget(admitted);
+        if (exhausted.isPresent()) {
+            // Checked before a rate token is taken: a program that loops on its exhausted budget must not use up the
+            // rate of its account.
+            Outcome.refuse(gateway, admitted, StreamForwarder.exhaustedRefusal(exhausted.get()), Optional.empty());
             return;
         }
         if (account.isEmpty()) {
             run(admitted);
             return;
         }
-        takeToken(arrival, admitted, account.get());
+        takeRateToken(received, admitted, account.get());
     }
 
-    private void takeToken(Arrival arrival, AdmittedRequest admitted, AccountTerms account) {
+    private void takeRateToken(ReceivedRequest received, AdmittedRequest admitted, AccountTerms account) {
         long left = admitted.deadlineMillis() - gateway.clock().now();
         boolean urgent = gateway.settings().policy().has(Mechanism.URGENT_STARTS)
-                && admitted.route().priority() == MOST_URGENT;
-        boolean startsNow = gateway.settings().policy().has(Mechanism.STARTS_WITHOUT_WAIT) && admitted.beginsProgram();
-        long maximumWait = startsNow
+                && admitted.route().priority() == HIGHEST_PRIORITY;
+        boolean startsWithoutWait =
+                gateway.settings().policy().has(Mechanism.STARTS_WITHOUT_WAIT) && admitted.beginsProgram();
+        long maximumWait = startsWithoutWait
                 ? QuotaWaitPolicy.START_WAIT_MILLIS
                 : QuotaWaitPolicy.maximumWaitMillis(admitted.beginsProgram(), urgent, left);
         gateway.quotas().take(account, maximumWait, result -> {
             if (result instanceof TokenSearch.Result.Granted granted) {
                 runAfter(granted.waitMillis(), admitted);
             } else if (result instanceof TokenSearch.Result.OverQuota overQuota) {
-                overQuota(admitted, account, overQuota.shortestMillis());
+                refuseOverQuota(admitted, account, overQuota.shortestMillis());
             } else {
-                noHolder(arrival, admitted);
+                refuseNoHolder(received, admitted);
             }
         });
     }
@@ -206,18 +220,18 @@
         gateway.executor().schedule(() -> run(admitted), waitMillis, TimeUnit.MILLISECONDS);
     }
 
-    private boolean lacksMap(AdmittedRequest admitted) {
+    private boolean needsUnavailableStore(AdmittedRequest admitted) {
         if (!gateway.map().unavailable()) {
             return false;
         }
         return admitted.keepsHistory()
                 || admitted.budgetedProgram()
-                        .filter(program ->
-                                !gateway.budgets().covers(program, admitted.maximumTokens(), admitted.keepMillis()))
+                        .filter(program -> !gateway.budgets()
+                                .canGrantLocally(program, admitted.maximumTokens(), admitted.recordRetentionMillis()))
                         .isPresent();
     }
 
-    private Optional<BudgetManager.Verdict.Exhausted> spent(AdmittedRequest admitted) {
+    private Optional<BudgetManager.Verdict.Exhausted> exhaustedBudget(AdmittedRequest admitted) {
         return admitted.budgetedProgram().flatMap(program -> gateway.budgets()
                 .knownExhausted(program, admitted.request().tokenBudget().getAsLong(), admitted.maximumTokens()));
     }
@@ -235,33 +249,35 @@
         }
     }
 
-    private void noHolder(Arrival arrival, AdmittedRequest admitted) {
-        long askAgain = gateway.clock().now() + HOLDER_RETRY_MILLIS;
-        if (awaitRecovery(arrival, () -> gateway.clock().now() >= askAgain)) {
+    private void refuseNoHolder(ReceivedRequest received, AdmittedRequest admitted) {
+        long retryAtMillis = gateway.clock().now() + HOLDER_RETRY_INTERVAL_MILLIS;
+        if (awaitRecovery(received, () -> gateway.clock().now() >= retryAtMillis)) {
             return;
         }
-        Refusal refusal =
-                Refusal.notRunRetryAfter(ResultCode.NOT_READY, "no holder of the quota answered", NO_HOLDER_MILLIS);
+        Refusal refusal = Refusal.notRunRetryAfter(
+                ResultCode.NOT_READY, "no VM that holds a share of the quota answered", NO_HOLDER_RETRY_AFTER_MILLIS);
         Outcome.refuse(gateway, admitted, refusal, Optional.empty());
     }
 
-    private void overQuota(AdmittedRequest admitted, AccountTerms account, long shortestMillis) {
-        boolean beginning = gateway.settings().policy().has(Mechanism.PROGRAM_START_DELAY) && admitted.beginsProgram();
+    private void refuseOverQuota(AdmittedRequest admitted, AccountTerms account, long shortestMillis) {
+        boolean delayedStart =
+                gateway.settings().policy().has(Mechanism.PROGRAM_START_DELAY) && admitted.beginsProgram();
         long left = admitted.deadlineMillis() - gateway.clock().now();
         double chance = ThreadLocalRandom.current().nextDouble();
-        long wait = QuotaWaitPolicy.retryAfterMillis(beginning, account.ratePerSecond(), left, chance);
+        long wait = QuotaWaitPolicy.retryAfterMillis(delayedStart, account.ratePerSecond(), left, chance);
         String detail = "rate " + account.ratePerSecond() + ", token in " + shortestMillis + " ms";
         Refusal refusal = Refusal.notRunRetryAfter(ResultCode.RATE_EXCEEDED, detail, wait);
         Outcome.refuse(gateway, admitted, refusal, Optional.empty());
     }
 
-    private Refusal elsewhere(Arrival arrival, ResultCode code, String detail) {
-        long waited = gateway.clock().now() - arrival.arrivedMillis();
-        return Refusal.notRunRetryAfter(code, detail, gateway.retryAfterMillis(arrival.leftMillis() - waited));
+    private Refusal refusalWithRetry(ReceivedRequest received, ResultCode code, String detail) {
+        long waited = gateway.clock().now() - received.arrivedMillis();
+        return Refusal.notRunRetryAfter(
+                code, detail, gateway.retryAfterMillis(received.callerTimeoutMillis() - waited));
     }
 
-    private void refuse(Arrival arrival, Refusal refusal) {
-        refuse(arrival.exchange(), arrival.request().id(), refusal);
+    private void refuse(ReceivedRequest received, Refusal refusal) {
+        refuse(received.exchange(), received.request().id(), refusal);
     }
 
     private void refuse(HttpExchange exchange, String requestId, Refusal refusal) {
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
@@ -13,18 +13,19 @@
 import org.quetzalshunt.server.http.HttpExchange;
 
 /**
- * A request that may run.
+ * A request that passed admission, with the terms under which it runs.
  *
- * @param exchange the way back to its caller
- * @param request what it says
- * @param route its route
- * @param service service that it goes to
- * @param account whose key came with it; empty on an open route
- * @param configurationVersion version that it was judged by
- * @param arrivedMillis when it had arrived whole
- * @param deadlineMillis when its final answer is due: the caller's time or the route's, whichever is over first
- * @param timeline when the steps of its life ended
- * @param conversationUnderWay whether its line of turns may have run before, by where its prompt lies
+ * @param exchange HTTP exchange with the caller
+ * @param request the decoded request
+ * @param route route that matched its host and path
+ * @param service service that the route selected
+ * @param account client account that its API key belongs to; empty on an open route
+ * @param configurationVersion configuration version that it was checked against
+ * @param arrivedMillis when it was fully received, on this VM's clock
+ * @param deadlineMillis when its final response is due: the earlier of the caller's and the route's timeout
+ * @param timeline times of its processing steps, for its log line
+ * @param promptMayBeCached whether some endpoint may have its prompt cached, which means that
+ *     an earlier turn of the same conversation may have run
  */
 record AdmittedRequest(
         HttpExchange exchange,
@@ -36,21 +37,25 @@
         long arrivedMillis,
         long deadlineMillis,
         RequestTimeline timeline,
-        boolean conversationUnderWay) {
+        boolean promptMayBeCached) {
 
-    /** Kept beyond the retention, since callers' clocks and ours may differ. */
+    /** Added to the retention period, since the clocks of callers and VMs may differ. */
     private static final long RETENTION_MARGIN_MILLIS = 10_000;
 
-    /** Ranks that accounts and routes use: 0, 1 and 2. */
-    private static final int RANKS = 3;
+    /** Priority levels of accounts and of routes: 0, 1 and 2. */
+    private static final int PRIORITY_LEVELS = 3;
 
-    /** Tokens assumed of a turn that does not say how many it may generate. */
-    private static final long TOKENS_UNSAID = 512;
+    /** Token limit assumed for a turn that states none. */
+    private static final long DEFAULT_MAXIMUM_TOKENS = 512;
 
-    /** 0 is the most urgent: accounts by their rank, and within one account routes by theirs. */
+    /**
+     * Priority of the request, 0 being the most urgent: accounts are ordered by their priority, and requests of
+     * equally ranked accounts by the priority of their route.
+     */
     int urgency() {
-        int rank = account.map(AccountTerms::priority).orElse(0);
-        return RANKS * Math.max(0, rank) + Math.min(RANKS - 1, Math.max(0, route.priority()));
+        int accountPriority = account.map(AccountTerms::priority).orElse(0);
+        return PRIORITY_LEVELS * Math.max(0, accountPriority)
+                + Math.min(PRIORITY_LEVELS - 1, Math.max(0, route.priority()));
     }
 
     String accountName() {
@@ -61,24 +66,27 @@
         return service.engine().map(EngineShape::tokensPerEvent).orElse(1);
     }
 
-    /** Tokens that a turn may generate, in whole events. */
+    /** Maximum number of tokens that the turn may generate, rounded up to whole events. */
     long maximumTokens() {
-        long said = request.maximumTokens().orElse(TOKENS_UNSAID);
-        int each = tokensPerEvent();
-        return (said + each - 1) / each * each;
+        long requested = request.maximumTokens().orElse(DEFAULT_MAXIMUM_TOKENS);
+        int perEvent = tokensPerEvent();
+        return (requested + perEvent - 1) / perEvent * perEvent;
     }
 
-    /** The program that the request belongs to, within its account. */
+    /** Name of the program that the request belongs to, prefixed with its account. */
     Optional<String> program() {
         return request.program().map(program -> programPrefix(accountName()) + program);
     }
 
-    /** What the names of an account's programs begin with, as budgets and peers know them. */
+    /** Prefix of all program names of an account in budgets and in messages to peers. */
     static String programPrefix(String account) {
         return account + ":";
     }
 
-    /** The program whose budget the request spends, whether or not its route keeps history; empty without a budget. */
+    /**
+     * The program whose token budget the request consumes, whether or not its route stores history; empty without a
+     * budget.
+     */
     Optional<String> budgetedProgram() {
         if (request.tokenBudget().isEmpty()) {
             return Optional.empty();
@@ -87,50 +95,54 @@
     }
 
     /**
-     * Whether this is the first turn of a program; a sub-agent's first turn is not. Where no history is kept, the turns of a
-     * line name none before them, and only their prompt tells.
+     * Whether this is the first turn of a program; the first turn of a sub-agent does not count. On routes that store
+     * no history, requests name no previous turn, so only the location of the prompt shows that the conversation has
+     * begun.
      */
     boolean beginsProgram() {
         return route.kind() == RequestKind.STREAM
-                && !conversationUnderWay
+                && !promptMayBeCached
                 && request.previousTurn().isEmpty()
                 && (request.line().isEmpty() || request.line().equals(request.program()));
     }
 
-    /** Whether the turn goes on from nothing that is kept here. */
+    /** Whether the turn needs no stored history of earlier turns. */
     boolean beginsChain() {
         return !route.stateful() || request.previousTurn().isEmpty();
     }
 
-    /** Until when it waits for an outage to end. */
-    long outageUntilMillis() {
+    /** Time until which the request may wait for an outage to end, on this VM's clock. */
+    long outageWaitUntilMillis() {
         return arrivedMillis + OutageWaitPolicy.maximumWaitMillis(deadlineMillis - arrivedMillis);
     }
 
     /**
-     * The data centres in which it may run, by the regions that its route and its account allow; empty for all.
+     * The data centres in which the request may run, by the regions that its route and its account allow; empty when
+     * it may run anywhere.
      *
      * @param regions region of each data centre
      */
     Optional<Set<String>> homeDataCentres(Map<String, String> regions) {
-        Set<String> ofAccount = account.map(AccountTerms::allowedRegions).orElse(Set.of());
-        if (route.allowedRegions().isEmpty() && ofAccount.isEmpty()) {
+        Set<String> accountRegions = account.map(AccountTerms::allowedRegions).orElse(Set.of());
+        if (route.allowedRegions().isEmpty() && accountRegions.isEmpty()) {
             return Optional.empty();
         }
         return Optional.of(regions.entrySet().stream()
                 .filter(each -> route.allowedRegions().isEmpty()
                         || route.allowedRegions().contains(each.getValue()))
-                .filter(each -> ofAccount.isEmpty() || ofAccount.contains(each.getValue()))
+                .filter(each -> accountRegions.isEmpty() || accountRegions.contains(each.getValue()))
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toUnmodifiableSet()));
     }
 
-    /** How long the turn, and what it spends, must be remembered after its end, in milliseconds. */
-    long keepMillis() {
+    /**
+     * How long the record of the turn and of the tokens that it consumed must be kept after its end, in milliseconds.
+     */
+    long recordRetentionMillis() {
         return route.retentionMillis() + RETENTION_MARGIN_MILLIS;
     }
 
-    /** Whether the turn is kept, for turns that go on from it. */
+    /** Whether the turn is stored, so that later turns can continue it. */
     boolean keepsHistory() {
         return route.stateful();
     }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/Backoff.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/Backoff.java
@@ -2,10 +2,13 @@
 
 import java.util.SplittableRandom;
 
-/** Pauses between failed calls to one dependency: doubling, with jitter so that VMs that failed together part. */
+/**
+ * Exponential backoff with jitter for failed calls to one dependency. The jitter keeps VMs that failed together from
+ * retrying together.
+ */
 final class Backoff {
-    private static final long FIRST_MILLIS = 50;
-    private static final long LONGEST_MILLIS = 400;
+    private static final long INITIAL_DELAY_MILLIS = 50;
+    private static final long MAXIMUM_DELAY_MILLIS = 400;
 
     private final SplittableRandom random;
     private int failures;
@@ -14,12 +17,14 @@
         this.random = new SplittableRandom(seed);
     }
 
-    void succeeded() {
+    /** Resets the delay after a successful call. */
+    void reset() {
         failures = 0;
     }
 
-    long failedMillis() {
-        long base = Math.min(LONGEST_MILLIS, FIRST_MILLIS << Math.min(failures, 10));
+    /** Counts a failed call and returns the delay before the next one, in milliseconds. */
+    long nextDelayMillis() {
+        long base = Math.min(MAXIMUM_DELAY_MILLIS, INITIAL_DELAY_MILLIS << Math.min(failures, 10));
         failures++;
         return base / 2 + random.nextLong(base);
     }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/BudgetManager.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/BudgetManager.java
@@ -21,51 +21,54 @@
 import org.quetzalshunt.wire.record.StoredRecords;
 
 /**
- * Grants turns their tokens. Turns that the VM's allotment covers are granted at once; others raise the allotment by an
- * append that expects the shard as it was read. Appends of one shard run one after the other, so that this VM never
- * conflicts with itself.
+ * Grants tokens of program budgets to turns. A turn that this VM's allotment covers is granted at once; otherwise the
+ * allotment is raised by a conditional append to the program's shard, which fails if another VM appended after the
+ * shard was read. Appends to one shard run one after the other, so that this VM never conflicts with itself.
  */
 final class BudgetManager {
-    /** Whether a turn may run. */
+    /** Result of a request for tokens. */
     sealed interface Verdict {
-        /** It may, and its tokens are set aside. */
+        /** The turn may run, and its tokens are reserved. */
         record Granted() implements Verdict {}
 
-        /** The budget is spent. */
+        /** The rest of the budget does not cover the turn. */
         record Exhausted(long allotted, long others) implements Verdict {}
 
-        /** The shared map cannot be asked. */
+        /** The store did not answer in time. */
         record Unavailable(String reason) implements Verdict {}
     }
 
-    /** Receives budgets that were found exhausted. */
+    /** Receives the budgets that this VM found exhausted. */
     interface ExhaustionListener {
-        /** All VMs together were allotted so many tokens of the program's budget. */
+        /** Called with the total number of tokens of the budget that is allotted to all VMs. */
         void onExhausted(String program, long allottedTokens);
     }
 
-    /** A turn that waits for its grant. */
+    /** A turn that waits for its token grant. */
     private record Pending(
             String program,
             long budget,
             long maximumTokens,
-            long keepMillis,
-            long giveUpMillis,
+            long recordRetentionMillis,
+            long retryUntilMillis,
             Backoff backoff,
             Consumer<Verdict> listener) {}
 
-    private static final class Row {
+    private static final class ProgramState {
         final ProgramAllotment allotment;
-        /** The shard's epoch in which the row was read; in a later one others may have appended. */
+        /**
+         * Epoch of the shard when this state was read; once the epoch differs, other VMs may have changed the
+         * allotments.
+         */
         long readEpoch = -1;
 
-        Row(ProgramAllotment allotment) {
+        ProgramState(ProgramAllotment allotment) {
             this.allotment = allotment;
         }
     }
 
     private static final class Shard {
-        /** Turns that wait for their grant, in order. */
+        /** Grant requests of waiting turns, in order of arrival. */
         final Deque<Runnable> tasks = new ArrayDeque<>();
 
         boolean busy;
@@ -73,17 +76,20 @@
         long epoch;
     }
 
-    /** A conflict with another VM, or an answer that was lost, is no reason to give up. */
-    private static final long LEAST_WAIT_MILLIS = 300;
+    /**
+     * Minimum time for which conflicts with other VMs and lost responses are retried, even if the caller has less time
+     * left.
+     */
+    private static final long MINIMUM_RETRY_MILLIS = 300;
 
-    /** Programs remembered; far more than run within one retention at one VM. */
-    private static final int MOST_PROGRAMS = 20_000;
+    /** Maximum number of programs in memory; far more than run at one VM within one retention period. */
+    private static final int MAXIMUM_PROGRAMS = 20_000;
 
-    /** Allotments that expired by this much are void at every VM, whatever its clock says. */
+    /** An allotment that expired longer ago than this is ignored; the margin covers clock differences between VMs. */
     private static final long EXPIRY_MARGIN_MILLIS = 15_000;
 
-    /** For this long a program's turns need no renewal of the record. */
-    private static final long LIFETIME_MILLIS = 60_000;
+    /** Added to the expiry of an allotment, so that its record is not renewed for every turn of a running program. */
+    private static final long RENEWAL_MARGIN_MILLIS = 60_000;
 
     private static final char SEPARATOR = '/';
 
@@ -93,22 +99,22 @@
     private final BooleanSupplier isolated;
     private final ExhaustionListener onExhausted;
     private final String holder;
-    private final boolean carried;
+    private final boolean transfersAllotments;
     private final Map<MapShard, Shard> shards = new HashMap<>();
-    private final LinkedHashMap<String, Row> rows = new LinkedHashMap<>(256, 0.75f, true) {
+    private final LinkedHashMap<String, ProgramState> programs = new LinkedHashMap<>(256, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Row> eldest) {
-            return size() > MOST_PROGRAMS;
+        protected boolean removeEldestEntry(Map.Entry<String, ProgramState> eldest) {
+            return size() > MAXIMUM_PROGRAMS;
         }
     };
 
     /**
-     * Makes a keeper that knows no program.
+     * Makes a manager with an empty program table.
      *
      * @param isolated whether a retry at another VM is more likely to succeed than another attempt here
-     * @param onExhausted receives each budget that this VM finds exhausted by reading the shared map
+     * @param onExhausted receives each budget that this VM finds exhausted by reading the store
      */
     BudgetManager(
             EventExecutor executor,
@@ -123,85 +129,86 @@
         this.map = map;
         this.clock = clock;
         this.holder = settings.life();
-        this.carried = settings.policy().has(Mechanism.PEER_HISTORY);
+        this.transfersAllotments = settings.policy().has(Mechanism.PEER_HISTORY);
     }
 
-    private Row row(String program) {
-        return rows.computeIfAbsent(program, ignored -> new Row(ProgramAllotment.unknown(carried)));
+    private ProgramState stateOf(String program) {
+        return programs.computeIfAbsent(
+                program, ignored -> new ProgramState(ProgramAllotment.unknown(transfersAllotments)));
     }
 
-    /** Gives what this VM may still hand out for a program to another VM. */
-    ProgramAllotment.Transfer giveOn(String program) {
-        Row row = rows.get(program);
-        return row == null ? ProgramAllotment.Transfer.NONE : row.allotment.giveOn();
+    /** Removes this VM's unspent tokens of a program, for transfer to another VM. */
+    ProgramAllotment.Transfer takeUnspent(String program) {
+        ProgramState state = programs.get(program);
+        return state == null ? ProgramAllotment.Transfer.NONE : state.allotment.giveOn();
     }
 
-    /** Another VM gave what it might still have handed out for a program. */
-    void received(String program, ProgramAllotment.Transfer transfer) {
-        row(program).allotment.received(transfer);
+    /** Adds tokens of a program that another VM transferred. */
+    void addTransferred(String program, ProgramAllotment.Transfer transfer) {
+        stateOf(program).allotment.received(transfer);
     }
 
-    /** Another VM found the budget of a program exhausted. */
-    void exhaustedElsewhere(String program, long allottedTokens) {
-        row(program).allotment.allottedAtLeast(allottedTokens);
+    /** Records the total allotment of a program whose budget another VM found exhausted. */
+    void onPeerExhausted(String program, long allottedTokens) {
+        stateOf(program).allotment.allottedAtLeast(allottedTokens);
     }
 
-    /** Whether this VM has granted turns of the program before. */
-    boolean knows(String program) {
-        Row row = rows.get(program);
-        return row != null && row.allotment.known();
+    /** Whether this VM knows the allotments that other VMs have of the program's budget. */
+    boolean isKnown(String program) {
+        ProgramState state = programs.get(program);
+        return state != null && state.allotment.known();
     }
 
     /**
-     * Whether this VM can grant a turn of the program without asking the shared map.
+     * Whether this VM can grant a turn of the program without an access to the store.
      *
-     * @param keepMillis how long what the turn spends must be remembered
+     * @param recordRetentionMillis how long the record of the tokens that the turn consumes must be kept
      */
-    boolean covers(String program, long maximumTokens, long keepMillis) {
-        Row row = rows.get(program);
-        return row != null && row.allotment.covers(maximumTokens, clock.wall() + keepMillis);
+    boolean canGrantLocally(String program, long maximumTokens, long recordRetentionMillis) {
+        ProgramState state = programs.get(program);
+        return state != null && state.allotment.covers(maximumTokens, clock.wall() + recordRetentionMillis);
     }
 
-    /** Whether a turn's grant is almost sure to come, by what this VM last read of its program. */
+    /** Whether the budget, as last read, has room for several more turns, so that a grant is very likely. */
     boolean hasHeadroom(String program, long budget, long maximumTokens) {
-        Row row = rows.get(program);
-        return row != null && row.allotment.hasHeadroom(budget, maximumTokens);
+        ProgramState state = programs.get(program);
+        return state != null && state.allotment.hasHeadroom(budget, maximumTokens);
     }
 
-    /** Whether the budget is exhausted by what this VM has read: allotments of peers never shrink. */
+    /** The exhausted verdict, if what this VM has read makes it certain: allotments of other VMs never shrink. */
     Optional<Verdict.Exhausted> knownExhausted(String program, long budget, long maximumTokens) {
-        Row row = rows.get(program);
-        if (row == null || !row.allotment.known() || row.allotment.covers(maximumTokens, clock.wall())) {
+        ProgramState state = programs.get(program);
+        if (state == null || !state.allotment.known() || state.allotment.covers(maximumTokens, clock.wall())) {
             return Optional.empty();
         }
-        if (row.allotment.wanted(budget, maximumTokens).isPresent()) {
+        if (state.allotment.wanted(budget, maximumTokens).isPresent()) {
             return Optional.empty();
         }
-        return Optional.of(new Verdict.Exhausted(row.allotment.allotted(), row.allotment.others()));
+        return Optional.of(new Verdict.Exhausted(state.allotment.allotted(), state.allotment.others()));
     }
 
     /**
-     * Sets tokens aside for a turn.
+     * Reserves tokens for a turn.
      *
-     * @param keepMillis how long the program's history is kept after its last turn
-     * @param untilMillis how long calls to the shared map that fail are tried again
+     * @param recordRetentionMillis how long the program's history is kept after its last turn
+     * @param retryUntilMillis time until which failed store calls are retried
      */
     void reserve(
             String program,
             long budget,
             long maximumTokens,
-            long keepMillis,
-            long untilMillis,
+            long recordRetentionMillis,
+            long retryUntilMillis,
             Consumer<Verdict> listener) {
-        Row row = row(program);
-        if (row.allotment.covers(maximumTokens, clock.wall() + keepMillis)) {
-            row.allotment.started(maximumTokens);
+        ProgramState state = stateOf(program);
+        if (state.allotment.covers(maximumTokens, clock.wall() + recordRetentionMillis)) {
+            state.allotment.started(maximumTokens);
             listener.accept(new Verdict.Granted());
             return;
         }
-        Optional<Verdict.Exhausted> spent = knownExhausted(program, budget, maximumTokens);
-        if (spent.isPresent()) {
-            listener.accept(spent.get());
+        Optional<Verdict.Exhausted> exhausted = knownExhausted(program, budget, maximumTokens);
+        if (exhausted.isPresent()) {
+            listener.accept(exhausted.get());
             return;
         }
         MapShard key = Shards.ofProgram(program);
@@ -210,34 +217,34 @@
                 program,
                 budget,
                 maximumTokens,
-                keepMillis,
-                Math.max(untilMillis, clock.now() + LEAST_WAIT_MILLIS),
+                recordRetentionMillis,
+                Math.max(retryUntilMillis, clock.now() + MINIMUM_RETRY_MILLIS),
                 new Backoff(program.hashCode()),
                 listener);
-        queue(shard, () -> step(key, shard, pending));
+        enqueue(shard, () -> tryGrant(key, shard, pending));
     }
 
-    private void queue(Shard shard, Runnable task) {
+    private void enqueue(Shard shard, Runnable task) {
         shard.tasks.addLast(task);
         if (!shard.busy) {
-            next(shard);
+            runNext(shard);
         }
     }
 
-    /** A turn ended; what it did not hand out is free again for this VM's next turns. */
+    /** Ends a reservation; tokens that the turn did not deliver become available to later turns at this VM. */
     void release(String program, long maximumTokens, long handedOut) {
-        Row row = rows.get(program);
-        if (row != null) {
-            row.allotment.ended(maximumTokens, handedOut);
+        ProgramState state = programs.get(program);
+        if (state != null) {
+            state.allotment.ended(maximumTokens, handedOut);
         }
     }
 
-    private MapEntry entry(String program, long tokens, long expiresMillis) {
+    private MapEntry allotmentEntry(String program, long tokens, long expiresMillis) {
         StoredRecords.Allotment allotment = new StoredRecords.Allotment(tokens, expiresMillis);
         return MapEntry.of(program + SEPARATOR + holder, StoredRecords.encode(allotment));
     }
 
-    private void next(Shard shard) {
+    private void runNext(Shard shard) {
         Runnable task = shard.tasks.pollFirst();
         shard.busy = task != null;
         if (task != null) {
@@ -245,63 +252,64 @@
         }
     }
 
-    private void finish(Shard shard, Pending pending, Verdict verdict) {
+    private void complete(Shard shard, Pending pending, Verdict verdict) {
         pending.listener().accept(verdict);
-        next(shard);
+        runNext(shard);
     }
 
-    private void step(MapShard key, Shard shard, Pending pending) {
-        Row row = row(pending.program());
-        long neededUntil = clock.wall() + pending.keepMillis();
-        if (row.allotment.covers(pending.maximumTokens(), neededUntil)) {
-            row.allotment.started(pending.maximumTokens());
-            finish(shard, pending, new Verdict.Granted());
+    private void tryGrant(MapShard key, Shard shard, Pending pending) {
+        ProgramState state = stateOf(pending.program());
+        long neededUntilMillis = clock.wall() + pending.recordRetentionMillis();
+        if (state.allotment.covers(pending.maximumTokens(), neededUntilMillis)) {
+            state.allotment.started(pending.maximumTokens());
+            complete(shard, pending, new Verdict.Granted());
             return;
         }
-        if (clock.now() >= pending.giveUpMillis() || isolated.getAsBoolean()) {
-            finish(shard, pending, new Verdict.Unavailable("no grant in time"));
+        if (clock.now() >= pending.retryUntilMillis() || isolated.getAsBoolean()) {
+            complete(shard, pending, new Verdict.Unavailable("no grant in time"));
             return;
         }
-        if (row.readEpoch != shard.epoch) {
-            read(key, shard, pending, row);
+        if (state.readEpoch != shard.epoch) {
+            readAllotments(key, shard, pending, state);
             return;
         }
-        row.allotment.expire(neededUntil);
-        OptionalLong wanted = row.allotment.wanted(pending.budget(), pending.maximumTokens());
-        if (wanted.isEmpty()) {
-            onExhausted.onExhausted(pending.program(), row.allotment.allotted() + row.allotment.others());
-            finish(shard, pending, new Verdict.Exhausted(row.allotment.allotted(), row.allotment.others()));
+        state.allotment.expire(neededUntilMillis);
+        OptionalLong newAllotment = state.allotment.wanted(pending.budget(), pending.maximumTokens());
+        if (newAllotment.isEmpty()) {
+            onExhausted.onExhausted(pending.program(), state.allotment.allotted() + state.allotment.others());
+            complete(shard, pending, new Verdict.Exhausted(state.allotment.allotted(), state.allotment.others()));
             return;
         }
-        raise(key, shard, pending, row, wanted.getAsLong());
+        raiseAllotment(key, shard, pending, state, newAllotment.getAsLong());
     }
 
-    private void stepLater(MapShard key, Shard shard, Pending pending) {
-        executor.schedule(() -> step(key, shard, pending), pending.backoff().failedMillis(), TimeUnit.MILLISECONDS);
+    private void retryLater(MapShard key, Shard shard, Pending pending) {
+        executor.schedule(
+                () -> tryGrant(key, shard, pending), pending.backoff().nextDelayMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private void read(MapShard key, Shard shard, Pending pending, Row row) {
+    private void readAllotments(MapShard key, Shard shard, Pending pending, ProgramState state) {
         String prefix = pending.program() + SEPARATOR;
         map.range(key, prefix, answer -> {
             if (!(answer instanceof RangeAnswer.Page page)) {
-                stepLater(key, shard, pending);
+                retryLater(key, shard, pending);
                 return;
             }
             if (page.end() != shard.end) {
-                // Others appended since the shard was last read: what other rows know of it is out of date.
+                // Other VMs appended since the shard was last read, so the state of its other programs is out of date.
                 shard.end = page.end();
                 shard.epoch++;
             }
-            readRow(row, prefix, page.entries());
-            row.readEpoch = shard.epoch;
-            step(key, shard, pending);
+            applyEntries(state, prefix, page.entries());
+            state.readEpoch = shard.epoch;
+            tryGrant(key, shard, pending);
         });
     }
 
-    private void readRow(Row row, String prefix, List<MapEntry> entries) {
+    private void applyEntries(ProgramState state, String prefix, List<MapEntry> entries) {
         long others = 0;
         long own = 0;
-        long ownUntil = 0;
+        long ownExpiresMillis = 0;
         long expiredBefore = clock.wall() - EXPIRY_MARGIN_MILLIS;
         for (MapEntry entry : entries) {
             if (!entry.key().startsWith(prefix)) {
@@ -314,29 +322,29 @@
             }
             if (entry.key().equals(prefix + holder)) {
                 own = found.get().tokens();
-                ownUntil = found.get().expiresMillis();
+                ownExpiresMillis = found.get().expiresMillis();
             } else {
                 others += found.get().tokens();
             }
         }
-        row.allotment.read(others, own, ownUntil);
+        state.allotment.read(others, own, ownExpiresMillis);
     }
 
-    private void raise(MapShard key, Shard shard, Pending pending, Row row, long tokens) {
-        long expiresMillis = clock.wall() + pending.keepMillis() + LIFETIME_MILLIS;
-        MapEntry entry = entry(pending.program(), tokens, expiresMillis);
+    private void raiseAllotment(MapShard key, Shard shard, Pending pending, ProgramState state, long tokens) {
+        long expiresMillis = clock.wall() + pending.recordRetentionMillis() + RENEWAL_MARGIN_MILLIS;
+        MapEntry entry = allotmentEntry(pending.program(), tokens, expiresMillis);
         map.append(key, List.of(entry), OptionalLong.of(shard.end), answer -> {
             if (answer instanceof AppendAnswer.Appended appended) {
                 shard.end = appended.end();
-                row.allotment.granted(tokens, expiresMillis);
-                step(key, shard, pending);
+                state.allotment.granted(tokens, expiresMillis);
+                tryGrant(key, shard, pending);
                 return;
             }
             shard.epoch++;
             if (answer instanceof AppendAnswer.Conflict) {
-                step(key, shard, pending);
+                tryGrant(key, shard, pending);
             } else {
-                stepLater(key, shard, pending);
+                retryLater(key, shard, pending);
             }
         });
     }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/BufferedForwarder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/BufferedForwarder.java
@@ -11,17 +11,19 @@
 import org.quetzalshunt.core.routing.AttemptOutcome;
 
 /**
- * A request whose answer is read whole before its first octet goes to the caller, so that a broken one can be replaced:
- * by another endpoint's where the request may run again, by a status that says so where it may not.
+ * Forwards a request and buffers the whole response before the first byte is sent to the caller. A broken response can
+ * therefore be replaced: by a retry at another endpoint if the request may run again, otherwise by an error status
+ * that reports the unknown outcome.
  */
 final class BufferedForwarder implements EndpointCall.Listener {
     /**
-     * An endpoint that has said nothing for this many times the route's target is left for another one: late enough that
-     * most healthy ones have answered, early enough that another can within the caller's time.
+     * An attempt that has not ended after this many times the route's target latency is cancelled and retried at
+     * another endpoint: late enough that most healthy endpoints have answered, early enough that another one can
+     * answer before the caller's deadline.
      */
-    private static final double SILENT_TARGETS = 1.5;
+    private static final double ATTEMPT_TIMEOUT_TARGETS = 1.5;
 
-    private static final int SERVER_ERRORS = 500;
+    private static final int FIRST_SERVER_ERROR_STATUS = 500;
     private static final int GATEWAY_TIMEOUT = 504;
 
     private final Gateway gateway;
@@ -29,10 +31,10 @@
     private final EndpointCall call;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private ScheduledFuture<?> deadline;
-    private ScheduledFuture<?> silence;
+    private ScheduledFuture<?> attemptTimeout;
     private int status;
     private HttpHeaders headers;
-    private int runs;
+    private int attempts;
     private boolean finished;
 
     private BufferedForwarder(Gateway gateway, AdmittedRequest admitted) {
@@ -41,31 +43,34 @@
         this.call = new EndpointCall(gateway, admitted, admitted.exchange().body(), this);
     }
 
-    /** Starts a run; it ends by itself. */
+    /** Starts to forward a request; the caller always gets a final response. */
     static void start(Gateway gateway, AdmittedRequest admitted) {
-        BufferedForwarder run = new BufferedForwarder(gateway, admitted);
-        admitted.exchange().onClose(run::callerLeft);
-        long left = Math.max(1, admitted.deadlineMillis() - gateway.clock().now());
-        run.deadline = gateway.executor().schedule(run::deadlinePassed, left, TimeUnit.MILLISECONDS);
-        run.attempt();
+        BufferedForwarder forwarder = new BufferedForwarder(gateway, admitted);
+        admitted.exchange().onClose(forwarder::onCallerDisconnected);
+        long remainingMillis =
+                Math.max(1, admitted.deadlineMillis() - gateway.clock().now());
+        forwarder.deadline = gateway.executor().schedule(forwarder::onDeadline, remainingMillis, TimeUnit.MILLISECONDS);
+        forwarder.attempt();
     }
 
     private void attempt() {
-        runs++;
+        attempts++;
         body.reset();
         headers = null;
         call.start();
-        if (!finished && mayRunAgain()) {
-            long silent = (long) (SILENT_TARGETS * admitted.route().targetLatencyMillis());
-            silence = gateway.executor().schedule(this::silent, Math.max(1, silent), TimeUnit.MILLISECONDS);
+        if (!finished && mayRetry()) {
+            long timeoutMillis =
+                    (long) (ATTEMPT_TIMEOUT_TARGETS * admitted.route().targetLatencyMillis());
+            attemptTimeout = gateway.executor()
+                    .schedule(this::onAttemptTimeout, Math.max(1, timeoutMillis), TimeUnit.MILLISECONDS);
         }
     }
 
-    private boolean mayRunAgain() {
-        return EndpointCall.repeatable(admitted) && runs < admitted.route().maximumAttempts();
+    private boolean mayRetry() {
+        return EndpointCall.repeatable(admitted) && attempts < admitted.route().maximumAttempts();
     }
 
-    private void silent() {
+    private void onAttemptTimeout() {
         if (finished) {
             return;
         }
@@ -86,76 +91,77 @@
 
     @Override
     public void onEnd() {
-        stopSilence();
-        if (!finished && endpointFailed() && mayRunAgain()) {
+        cancelAttemptTimeout();
+        if (!finished && endpointFailed() && mayRetry()) {
             attempt();
             return;
         }
-        if (finish()) {
+        if (markFinished()) {
             admitted.exchange().respond(status, gateway.dialect().inbound(headers), body.toByteArray());
             Outcome.log(gateway, admitted, ResultCode.OK, "status " + status, Optional.of(call));
         }
     }
 
     /**
-     * Guards against endpoints that fail part of their requests: their callers would spend a try of their own, and the
-     * time to come back. An endpoint that was still at work at its deadline is no such case, and leaves no time.
+     * Whether the endpoint itself failed, so that a retry elsewhere is useful. Without this retry, the caller would
+     * use up one of its own attempts and the time until its next one. A gateway timeout is left out: the endpoint was
+     * still working at its deadline, and no time is left for another.
      */
     private boolean endpointFailed() {
-        return status >= SERVER_ERRORS && status != GATEWAY_TIMEOUT;
+        return status >= FIRST_SERVER_ERROR_STATUS && status != GATEWAY_TIMEOUT;
     }
 
     @Override
     public void onBroken(String reason) {
-        stopSilence();
-        if (!finished && mayRunAgain()) {
+        cancelAttemptTimeout();
+        if (!finished && mayRetry()) {
             attempt();
             return;
         }
-        end(Refusal.after(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, reason));
+        refuse(Refusal.after(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, reason));
     }
 
     @Override
     public void onRefused(Refusal refusal) {
-        stopSilence();
-        // An earlier attempt may have run, and then "not run" would be untrue.
-        end(runs > 1 ? Refusal.after(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, refusal.detail()) : refusal);
+        cancelAttemptTimeout();
+        // An earlier attempt may have run, so that reporting "not run" could be false.
+        refuse(attempts > 1 ? Refusal.after(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, refusal.detail()) : refusal);
     }
 
-    private void deadlinePassed() {
-        boolean ran = call.running() || runs > 1;
+    private void onDeadline() {
+        boolean mayHaveRun = call.running() || attempts > 1;
         call.cancel(AttemptOutcome.ofLate(headers != null));
-        end(
-                ran
+        refuse(
+                mayHaveRun
                         ? Refusal.after(ResultCode.DEADLINE_PASSED_RUNNING, Execution.UNKNOWN, "no answer in time")
                         : Refusal.notRun(ResultCode.DEADLINE_UNREACHABLE, "no endpoint took it in time"));
     }
 
-    private void callerLeft() {
+    private void onCallerDisconnected() {
         call.cancel(AttemptOutcome.NEUTRAL);
-        if (finish()) {
+        if (markFinished()) {
             Outcome.log(gateway, admitted, ResultCode.CANCELLED, "the caller left", Optional.of(call));
         }
     }
 
-    private void end(Refusal refusal) {
-        if (finish()) {
+    private void refuse(Refusal refusal) {
+        if (markFinished()) {
             Outcome.refuse(gateway, admitted, refusal, Optional.of(call));
         }
     }
 
-    private void stopSilence() {
-        if (silence != null) {
-            silence.cancel(false);
+    private void cancelAttemptTimeout() {
+        if (attemptTimeout != null) {
+            attemptTimeout.cancel(false);
         }
     }
 
-    private boolean finish() {
+    private boolean markFinished() {
         if (finished) {
             return false;
         }
         finished = true;
-        stopSilence();
+        cancelAttemptTimeout();
         if (deadline != null) {
             deadline.cancel(false);
         }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/CallerRequest.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/CallerRequest.java
@@ -6,21 +6,21 @@
 import org.quetzalshunt.core.routing.PrefixPart;
 
 /**
- * A caller's request, decoded.
+ * A decoded caller request.
  *
- * @param id the caller's id of this one attempt
- * @param host host that the route is chosen by
+ * @param id id that the caller gave to this attempt
+ * @param host host by which the route is chosen
  * @param path path without the query
- * @param key key of a client account; never logged
- * @param deadlineMillis how long the caller waits, from now
- * @param programLeftMillis time until its program should be finished, from now
+ * @param key API key of a client account; never logged
+ * @param deadlineMillis the caller's timeout, counted from the arrival of the request
+ * @param programLeftMillis time until its program should be finished, counted from the arrival
  * @param program program that the request belongs to
- * @param line the line of turns that it belongs to: one for the program itself and one for each of its sub-agents
- * @param previousTurn id of the turn that this one goes on from
- * @param tokenBudget tokens that all turns of the program may generate
- * @param promptTokens tokens of the whole prompt
- * @param prefixParts parts of the prompt in order; requests with equal first parts share them in an engine's memory
- * @param maximumTokens tokens that this turn may generate
+ * @param line conversation that it belongs to: a program has one of its own and one for each of its sub-agents
+ * @param previousTurn id of the turn that this one continues
+ * @param tokenBudget number of tokens that all turns of the program together may generate
+ * @param promptTokens number of tokens of the whole prompt
+ * @param prefixParts parts of the prompt in order; an engine's prompt cache is shared by requests with equal first parts
+ * @param maximumTokens maximum number of tokens that this turn may generate
  */
 public record CallerRequest(
         String id,
--- a/server/src/main/java/org/quetzalshunt/server/gateway/ChainExchange.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/ChainExchange.java
@@ -22,18 +22,19 @@
 import org.quetzalshunt.wire.record.StoredRecords;
 
 /**
- * Fetches a turn's chain, and what is left of its program's allotment, from the gateway that ran the turn before. The one
- * that is the turn's directory knows which that is. Where nobody answers in time, both come from the store as ever; what a
- * peer says is never taken for the absence of a turn.
+ * Fetches the chain of a turn (the turn itself and all turns before it), and the unspent tokens of its program, from
+ * the gateway that ran the turn. For each turn, rendezvous hashing selects one VM as its directory, which records the
+ * gateway that has it. If no peer answers in time, both are read from the store; a peer's answer is never taken as
+ * proof that a turn does not exist.
  *
- * <p>Load pattern: programs of many short turns, half of which arrive through another gateway than the turn before.
+ * <p>Load pattern: programs of many short turns, half of which arrive at another gateway than the previous turn.
  */
 final class ChainExchange {
     /** Ten round trips between data centres; a peer that takes longer is overloaded or gone. */
-    private static final long ANSWER_MILLIS = 25;
+    private static final long ANSWER_TIMEOUT_MILLIS = 25;
 
-    /** A chain beyond this would hold up the loads and tokens that share its link. */
-    private static final int LARGEST_CHAIN_BYTES = 256 * 1024;
+    /** Larger chains would delay the load reports and token requests that share the link. */
+    private static final int MAXIMUM_CHAIN_BYTES = 256 * 1024;
 
     private final EventExecutor executor;
     private final GatewaySettings settings;
@@ -61,34 +62,38 @@
     }
 
     /**
-     * Brings the turn that a request goes on from into this VM's memory, if a peer has it.
+     * Copies the turn that a request continues into this VM's cache, if a peer has it.
      *
-     * @param then runs once it is there or will not come, maybe at once
+     * @param onDone runs when the turn is cached or cannot be fetched; possibly during this call
      */
-    void fetch(AdmittedRequest admitted, Runnable then) {
+    void fetch(AdmittedRequest admitted, Runnable onDone) {
         String turn = admitted.request().previousTurn().orElseThrow();
-        Optional<String> peer = wanted(turn) ? holderOrDirectory(turn) : Optional.empty();
+        Optional<String> peer = shouldAskPeer(turn) ? peerToAsk(turn) : Optional.empty();
         if (peer.isEmpty()) {
-            then.run();
+            onDone.run();
             return;
         }
         long id = nextId++;
-        pending.put(id, then);
+        pending.put(id, onDone);
         ChainRequest request = new ChainRequest(
                 id, turn, admitted.accountName(), admitted.budgetedProgram().orElse(""), settings.vm());
         links.send(peer.get(), Message.chainRequest(request));
-        executor.schedule(() -> proceed(id), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+        executor.schedule(() -> complete(id), ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private boolean wanted(String turn) {
-        // While the store fails, the turn could not be kept: reading its chain there tells so before it is sent.
+    private boolean shouldAskPeer(String turn) {
+        // While the store fails, the new turn could not be stored. Reading the chain from the store detects that before
+        // the turn is sent to an endpoint.
         return settings.policy().has(Mechanism.PEER_HISTORY) && !history.holds(turn) && !map.failing();
     }
 
-    /** The peer to ask for a turn. */
-    private Optional<String> holderOrDirectory(String turn) {
-        String place = directoryOf(turn);
-        Optional<String> peer = place.equals(settings.vm()) ? directory.find(turn) : Optional.of(place);
+    /**
+     * The peer to ask for a turn: its holder if this VM is the directory, otherwise the directory; empty if that is
+     * this VM itself.
+     */
+    private Optional<String> peerToAsk(String turn) {
+        String directoryVm = directoryOf(turn);
+        Optional<String> peer = directoryVm.equals(settings.vm()) ? directory.find(turn) : Optional.of(directoryVm);
         return peer.filter(vm -> !vm.equals(settings.vm()));
     }
 
@@ -98,37 +103,37 @@
         return Rendezvous.winner(turn, vms).orElseThrow();
     }
 
-    /** This VM keeps a turn that ended. */
-    void kept(String turn) {
+    /** Publishes in the directory that this VM has a turn. */
+    void onTurnStored(String turn) {
         if (!settings.policy().has(Mechanism.PEER_HISTORY)) {
             return;
         }
-        String place = directoryOf(turn);
-        if (place.equals(settings.vm())) {
+        String directoryVm = directoryOf(turn);
+        if (directoryVm.equals(settings.vm())) {
             directory.put(turn, settings.vm());
         } else {
-            links.send(place, Message.turnLocation(new TurnLocation(turn)));
+            links.send(directoryVm, Message.turnLocation(new TurnLocation(turn)));
         }
     }
 
-    /** A peer tells that it holds a turn. */
+    /** Records that a peer has a turn. */
     void onLocation(String vm, TurnLocation location) {
         if (location.getTurn() != null) {
             directory.put(location.getTurn(), vm);
         }
     }
 
-    /** A peer asks for a chain. */
+    /** Answers a request for a chain, or forwards it to the peer that has the turn. */
     void onRequest(ChainRequest request) {
-        boolean whole = request.getTurn() != null
+        boolean complete = request.getTurn() != null
                 && request.getAccount() != null
                 && request.getProgram() != null
                 && request.getRequester() != null;
-        if (!whole) {
+        if (!complete) {
             return;
         }
         Optional<List<TurnRecord>> chain = history.heldChain(request.getTurn(), request.getAccount())
-                .filter(turns -> turns.stream().mapToInt(TurnRecord::weight).sum() <= LARGEST_CHAIN_BYTES);
+                .filter(turns -> turns.stream().mapToInt(TurnRecord::weight).sum() <= MAXIMUM_CHAIN_BYTES);
         if (chain.isPresent()) {
             answer(request, chain.get());
             return;
@@ -148,10 +153,10 @@
         if (!links.isConnected(request.getRequester())) {
             return;
         }
-        boolean gives = !chain.isEmpty()
+        boolean transfersTokens = !chain.isEmpty()
                 && request.getProgram().startsWith(AdmittedRequest.programPrefix(request.getAccount()));
         ProgramAllotment.Transfer transfer =
-                gives ? budgets.giveOn(request.getProgram()) : ProgramAllotment.Transfer.NONE;
+                transfersTokens ? budgets.takeUnspent(request.getProgram()) : ProgramAllotment.Transfer.NONE;
         List<ChainTurn> turns = chain.stream()
                 .map(turn -> new ChainTurn(turn.id(), ByteBuffer.wrap(StoredRecords.encode(turn))))
                 .toList();
@@ -161,13 +166,16 @@
                         request.getId(), request.getProgram(), turns, transfer.tokens(), transfer.untilMillis())));
     }
 
-    /** A peer answered; tokens count also when the answer came too late for its turn. */
+    /**
+     * Handles the answer of a peer. Transferred tokens are added even if the answer came too late for the turn that
+     * asked.
+     */
     void onAnswer(ChainAnswer answer) {
         if (answer.getProgram() == null || answer.getTurns() == null) {
             return;
         }
         if (answer.getTokens() > 0) {
-            budgets.received(
+            budgets.addTransferred(
                     answer.getProgram(),
                     new ProgramAllotment.Transfer(answer.getTokens(), answer.getTokensExpireMillis()));
         }
@@ -175,28 +183,28 @@
                 .filter(turn -> turn.getId() != null && turn.getRecord() != null)
                 .flatMap(turn -> StoredRecords.turn(turn.getId(), turn.getRecord()).stream())
                 .forEach(history::hold);
-        proceed(answer.getId());
+        complete(answer.getId());
     }
 
-    /** This VM found a program's budget exhausted: every peer may see its next turn. */
-    void exhausted(String program, long allottedTokens) {
+    /** Tells all peers that the budget of a program is exhausted, since each of them may receive its next turn. */
+    void broadcastExhausted(String program, long allottedTokens) {
         if (settings.policy().has(Mechanism.SHARED_EXHAUSTION)) {
             Message message = Message.budgetExhausted(new BudgetExhausted(program, allottedTokens));
             links.connectedVms().forEach(vm -> links.send(vm, message));
         }
     }
 
-    /** A peer found a program's budget exhausted. */
-    void onExhausted(BudgetExhausted exhausted) {
+    /** Handles the report of a peer that the budget of a program is exhausted. */
+    void onPeerExhausted(BudgetExhausted exhausted) {
         if (exhausted.getProgram() != null) {
-            budgets.exhaustedElsewhere(exhausted.getProgram(), exhausted.getAllottedTokens());
+            budgets.onPeerExhausted(exhausted.getProgram(), exhausted.getAllottedTokens());
         }
     }
 
-    private void proceed(long id) {
-        Runnable then = pending.remove(id);
-        if (then != null) {
-            then.run();
+    private void complete(long id) {
+        Runnable onDone = pending.remove(id);
+        if (onDone != null) {
+            onDone.run();
         }
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/ConfigurationFollower.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/ConfigurationFollower.java
@@ -165,7 +165,7 @@
 
     private void proven(long sentMillis) {
         failed = false;
-        backoff.succeeded();
+        backoff.reset();
         provenMillis = Math.max(provenMillis, sentMillis);
         dependency.answered();
     }
@@ -173,7 +173,7 @@
     private void retry(int own, String reason) {
         failed = true;
         dependency.failed(reason);
-        executor.schedule(() -> retry(own), backoff.failedMillis(), TimeUnit.MILLISECONDS);
+        executor.schedule(() -> retry(own), backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
     }
 
     private void retry(int own) {
--- a/server/src/main/java/org/quetzalshunt/server/gateway/GatewayProcess.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/GatewayProcess.java
@@ -94,7 +94,7 @@
                 clock,
                 settings,
                 () -> gateway.isolatedFromStore(),
-                (program, allotted) -> gateway.chains().exhausted(program, allotted));
+                (program, allotted) -> gateway.chains().broadcastExhausted(program, allotted));
         ChainExchange chains = new ChainExchange(group.next(), settings, map, history, budgets, links);
         links.setChains(chains);
         gateway = new Gateway(
--- a/server/src/main/java/org/quetzalshunt/server/gateway/PeerConnections.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/PeerConnections.java
@@ -217,7 +217,7 @@
         } else if (message.isSetChainAnswer()) {
             chains.onAnswer(message.getChainAnswer());
         } else if (message.isSetBudgetExhausted()) {
-            chains.onExhausted(message.getBudgetExhausted());
+            chains.onPeerExhausted(message.getBudgetExhausted());
         } else if (message.isSetEndpointLoads() && message.getEndpointLoads().getRunning() != null) {
             onPeerLoads(link.remote(), message.getEndpointLoads());
         }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/StreamForwarder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/StreamForwarder.java
@@ -84,7 +84,7 @@
 
     private void findChain() {
         String previous = admitted.request().previousTurn().orElseThrow();
-        gateway.history().find(previous, admitted.accountName(), admitted.outageUntilMillis(), this::chainFound);
+        gateway.history().find(previous, admitted.accountName(), admitted.outageWaitUntilMillis(), this::chainFound);
     }
 
     private void chainFound(TurnHistory.Chain answer) {
@@ -255,7 +255,7 @@
             ancestors.addAll(last.ancestors());
             ancestors.add(last.id());
         }
-        long expires = gateway.clock().wall() + admitted.keepMillis();
+        long expires = gateway.clock().wall() + admitted.recordRetentionMillis();
         return new TurnRecord(
                 id,
                 admitted.accountName(),
@@ -267,7 +267,7 @@
 
     private void kept(boolean kept) {
         if (kept && admitted.keepsHistory()) {
-            gateway.chains().kept(admitted.request().id());
+            gateway.chains().onTurnStored(admitted.request().id());
         }
         if (finished || !kept) {
             return;
--- a/server/src/main/java/org/quetzalshunt/server/gateway/TurnGrant.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/TurnGrant.java
@@ -37,7 +37,7 @@
             return false;
         }
         long budget = admitted.request().tokenBudget().orElse(Long.MAX_VALUE);
-        if (gateway.budgets().knows(program.get())) {
+        if (gateway.budgets().isKnown(program.get())) {
             return gateway.budgets().hasHeadroom(program.get(), budget, admitted.maximumTokens());
         }
         return admitted.beginsProgram() && budget >= admitted.maximumTokens();
@@ -55,8 +55,8 @@
                         program.get(),
                         admitted.request().tokenBudget().getAsLong(),
                         admitted.maximumTokens(),
-                        admitted.keepMillis(),
-                        admitted.outageUntilMillis(),
+                        admitted.recordRetentionMillis(),
+                        admitted.outageWaitUntilMillis(),
                         verdict -> decided(verdict, listener));
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/TurnHistory.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/TurnHistory.java
@@ -189,7 +189,7 @@
         }
 
         long pauseMillis() {
-            return failed < LEAST_READS ? 0 : backoff.failedMillis();
+            return failed < LEAST_READS ? 0 : backoff.nextDelayMillis();
         }
     }
 
@@ -256,7 +256,7 @@
                 return;
             }
             executor.schedule(
-                    () -> keep(turn, stillWanted, listener, backoff), backoff.failedMillis(), TimeUnit.MILLISECONDS);
+                    () -> keep(turn, stillWanted, listener, backoff), backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
         });
     }
 
--- a/server/src/test/java/org/quetzalshunt/server/gateway/BudgetManagerTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/BudgetManagerTest.java
@@ -18,12 +18,12 @@
 
 final class BudgetManagerTest {
     private static final String PROGRAM = "arusha:loop";
-    private static final long MOST = 592;
-    private static final long BUDGET = 3 * MOST;
-    private static final long KEEP_MILLIS = 70_000;
+    private static final long MAXIMUM_TOKENS = 592;
+    private static final long BUDGET = 3 * MAXIMUM_TOKENS;
+    private static final long RETENTION_MILLIS = 70_000;
     private static final int GATEWAYS = 4;
     private static final int PROGRAMS = 40;
-    private static final long PLAYED_MILLIS = 2_000;
+    private static final long RUN_MILLIS = 2_000;
 
     private final EventExecutor executor = new DefaultEventExecutor();
     private final NodeClock clock = new NodeClock(() -> {});
@@ -34,32 +34,35 @@
     }
 
     /**
-     * Programs loop over four gateways while the store loses answers to appends, some of which are done later. A record that
-     * lowered an allotment once landed after the allotment had been read anew and handed out; the others counted the lower
-     * one, and together they handed out more than the budget and one turn.
+     * Guards against gateways that together hand out more than the budget and one turn, while the store loses
+     * responses to appends and applies some of them later. This happened when a record that lowered an allotment was
+     * applied after the allotment had been read again and handed out: the other gateways then counted the lower value.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void lostAnswersBreakNoBudget(long seed) throws Exception {
+    void budgetIsNotExceededWhenAppendResponsesAreLost(long seed) throws Exception {
         List<Loop> loops = new ArrayList<>();
         for (int program = 0; program < PROGRAMS; program++) {
             loops.add(new Loop(PROGRAMS * seed + program));
         }
         loops.forEach(loop -> executor.execute(loop::start));
 
-        Thread.sleep(PLAYED_MILLIS);
+        Thread.sleep(RUN_MILLIS);
 
         for (Loop loop : loops) {
             long total = executor.submit(() -> loop.handedOut).get();
-            assertWithMessage("loop " + loop.seed).that(total).isAtMost(BUDGET + MOST);
+            assertWithMessage("loop " + loop.seed).that(total).isAtMost(BUDGET + MAXIMUM_TOKENS);
         }
     }
 
-    /** One program that sends its next turn to each gateway as soon as the last one ended there. */
+    /**
+     * Sends the turns of one program through all gateways at once; each gateway gets its next turn as soon as its last
+     * one ended.
+     */
     private final class Loop {
         private final long seed;
         private final Random random;
-        private final List<BudgetManager> keepers = new ArrayList<>();
+        private final List<BudgetManager> managers = new ArrayList<>();
         private long handedOut;
 
         Loop(long seed) {
@@ -70,46 +73,47 @@
             for (int gateway = 0; gateway < GATEWAYS; gateway++) {
                 GatewaySettings settings = new GatewaySettings(
                         "vm-" + gateway, 1, "a", any, any, any, 5_000, 1_000, Map.of(), Policy.whole());
-                keepers.add(new BudgetManager(
-                        executor, new StoreClient(map, clock), clock, settings, () -> false, this::tellPeers));
+                managers.add(new BudgetManager(
+                        executor, new StoreClient(map, clock), clock, settings, () -> false, this::notifyPeers));
             }
         }
 
         void start() {
-            keepers.forEach(this::turn);
+            managers.forEach(this::startTurn);
         }
 
-        private void turn(BudgetManager keeper) {
+        private void startTurn(BudgetManager manager) {
             if (random.nextInt(4) == 0) {
-                giveOn(keeper);
+                transferTokens(manager);
             }
-            keeper.reserve(PROGRAM, BUDGET, MOST, KEEP_MILLIS, clock.now() + 500, verdict -> {
+            manager.reserve(PROGRAM, BUDGET, MAXIMUM_TOKENS, RETENTION_MILLIS, clock.now() + 500, verdict -> {
                 boolean granted = verdict instanceof BudgetManager.Verdict.Granted;
-                long tokens = random.nextInt(3) == 0 ? MOST : 16L * random.nextInt(12);
-                long ends = 1L + random.nextInt(60);
-                executor.schedule(() -> ended(keeper, granted, tokens), ends, TimeUnit.MILLISECONDS);
+                long tokens = random.nextInt(3) == 0 ? MAXIMUM_TOKENS : 16L * random.nextInt(12);
+                long durationMillis = 1L + random.nextInt(60);
+                executor.schedule(() -> endTurn(manager, granted, tokens), durationMillis, TimeUnit.MILLISECONDS);
             });
         }
 
-        private void tellPeers(String program, long allottedTokens) {
-            keepers.forEach(keeper -> keeper.exhaustedElsewhere(program, allottedTokens));
+        private void notifyPeers(String program, long allottedTokens) {
+            managers.forEach(manager -> manager.onPeerExhausted(program, allottedTokens));
         }
 
-        /** Gives the tokens of one gateway to another, which gets them late or never. */
-        private void giveOn(BudgetManager from) {
-            ProgramAllotment.Transfer transfer = from.giveOn(PROGRAM);
-            BudgetManager to = keepers.get(random.nextInt(GATEWAYS));
+        /** Transfers the unspent tokens of one gateway to another, where they arrive late or never. */
+        private void transferTokens(BudgetManager from) {
+            ProgramAllotment.Transfer transfer = from.takeUnspent(PROGRAM);
+            BudgetManager to = managers.get(random.nextInt(GATEWAYS));
             if (random.nextInt(4) > 0) {
-                executor.schedule(() -> to.received(PROGRAM, transfer), random.nextInt(40), TimeUnit.MILLISECONDS);
+                executor.schedule(
+                        () -> to.addTransferred(PROGRAM, transfer), random.nextInt(40), TimeUnit.MILLISECONDS);
             }
         }
 
-        private void ended(BudgetManager keeper, boolean granted, long tokens) {
+        private void endTurn(BudgetManager manager, boolean granted, long tokens) {
             if (granted) {
                 handedOut += tokens;
-                keeper.release(PROGRAM, MOST, tokens);
+                manager.release(PROGRAM, MAXIMUM_TOKENS, tokens);
             }
-            turn(keeper);
+            startTurn(manager);
         }
     }
 }
--- a/server/src/test/java/org/quetzalshunt/server/gateway/LossyMap.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/LossyMap.java
@@ -15,18 +15,18 @@
 import org.quetzalshunt.core.store.SharedMap;
 
 /**
- * One shard in memory that loses part of the answers to appends. What was asked for is then done at once, never, or some
- * hundred milliseconds later if its condition still holds.
+ * In-memory shard that loses some of the responses to appends. The append of a lost response is applied at once,
+ * never, or up to 300 ms later if its condition still holds.
  */
 final class LossyMap implements SharedMap {
-    private static final int LOST_IN_TEN = 4;
-    private static final long WAY_MILLIS = 3;
-    private static final long UNANSWERED_MILLIS = 30;
-    private static final int LATEST_MILLIS = 300;
+    private static final int LOST_RESPONSES_PER_TEN = 4;
+    private static final long LATENCY_MILLIS = 3;
+    private static final long TIMEOUT_MILLIS = 30;
+    private static final int MAXIMUM_APPLY_DELAY_MILLIS = 300;
 
     private final EventExecutor executor;
     private final Random random;
-    private final TreeMap<String, MapEntry> newest = new TreeMap<>();
+    private final TreeMap<String, MapEntry> entriesByKey = new TreeMap<>();
     private long end;
 
     LossyMap(EventExecutor executor, long seed) {
@@ -36,10 +36,11 @@
 
     @Override
     public void range(MapShard shard, String after, long limitMillis, Consumer<RangeAnswer> listener) {
-        later(WAY_MILLIS, () -> {
-            List<MapEntry> entries = List.copyOf(newest.tailMap(after, false).values());
+        later(LATENCY_MILLIS, () -> {
+            List<MapEntry> entries =
+                    List.copyOf(entriesByKey.tailMap(after, false).values());
             RangeAnswer page = new RangeAnswer.Page(entries, false, end);
-            later(WAY_MILLIS, () -> listener.accept(page));
+            later(LATENCY_MILLIS, () -> listener.accept(page));
         });
     }
 
@@ -50,25 +51,27 @@
             OptionalLong expectedEnd,
             long limitMillis,
             Consumer<AppendAnswer> listener) {
-        if (random.nextInt(10) >= LOST_IN_TEN) {
-            later(WAY_MILLIS, () -> {
+        if (random.nextInt(10) >= LOST_RESPONSES_PER_TEN) {
+            later(LATENCY_MILLIS, () -> {
                 AppendAnswer answer = append(entries, expectedEnd);
-                later(WAY_MILLIS, () -> listener.accept(answer));
+                later(LATENCY_MILLIS, () -> listener.accept(answer));
             });
             return;
         }
-        int fate = random.nextInt(3);
-        if (fate > 0) {
-            later(fate == 1 ? WAY_MILLIS : random.nextInt(LATEST_MILLIS), () -> append(entries, expectedEnd));
+        int lostAppendCase = random.nextInt(3);
+        if (lostAppendCase > 0) {
+            later(
+                    lostAppendCase == 1 ? LATENCY_MILLIS : random.nextInt(MAXIMUM_APPLY_DELAY_MILLIS),
+                    () -> append(entries, expectedEnd));
         }
-        later(UNANSWERED_MILLIS, () -> listener.accept(new AppendAnswer.Unknown("no answer")));
+        later(TIMEOUT_MILLIS, () -> listener.accept(new AppendAnswer.Unknown("no answer")));
     }
 
     private AppendAnswer append(List<MapEntry> entries, OptionalLong expectedEnd) {
         if (expectedEnd.isPresent() && expectedEnd.getAsLong() != end) {
             return new AppendAnswer.Conflict(end);
         }
-        entries.forEach(entry -> newest.put(entry.key(), entry));
+        entries.forEach(entry -> entriesByKey.put(entry.key(), entry));
         end += entries.size();
         return new AppendAnswer.Appended(end);
     }
@@ -76,7 +79,7 @@
     @Override
     public void changes(
             MapShard shard, long from, long waitMillis, long limitMillis, Consumer<ChangesAnswer> listener) {
-        throw new UnsupportedOperationException("budgets follow no changes");
+        throw new UnsupportedOperationException("not used by BudgetManager");
     }
 
     private void later(long millis, Runnable action) {
