--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
@@ -58,7 +58,7 @@
 
     /** Processes a request; the response is sent during this call or later. */
     void handle(HttpExchange exchange) {
-        gateway.clock().check();
+        gateway.clock().detectJump();
         if (stopping.getAsBoolean() || gateway.isolatedFromStore()) {
             // Closing a persistent connection moves its caller to another VM, since the balancer opens new ones only to
             // ready VMs.
@@ -104,7 +104,9 @@
             return;
         }
         if (received.exchange().body().length > configuration.limits().maximumBodyBytes()) {
-            refuse(received, Refusal.notRun(ResultCode.BODY_TOO_LARGE, "larger than the configured maximum body size"));
+            refuse(
+                    received,
+                    Refusal.notRun(ResultCode.BODY_TOO_LARGE, "the body is larger than the configured limits allow"));
             return;
         }
         admit(received, configuration, route.get(), account);
@@ -130,7 +132,7 @@
         boolean mayBeginProgram = received.request().previousTurn().isEmpty();
         BooleanSupplier recovered = () -> ready.getAsBoolean() || gateway.isolatedFromStore();
         return gateway.recovery()
-                .offer(new RecoveryQueue.Waiting(mayBeginProgram, until, recovered, () -> resume(received)));
+                .offer(new RecoveryQueue.WaitingRequest(mayBeginProgram, until, recovered, () -> resume(received)));
     }
 
     private void resume(ReceivedRequest received) {
@@ -163,18 +165,18 @@
                 deadline,
                 new RequestTimeline(gateway.clock(), received.arrivedMillis()),
                 gateway.endpoints().mayCache(gateway.clock().now(), service.name(), request.prefixParts()));
-        if (gateway.crashes().quarantined(admitted)) {
+        if (gateway.crashes().isQuarantined(admitted)) {
             Refusal refusal =
                     Refusal.notRun(ResultCode.CRASHES_ENDPOINTS, "it was running at three endpoints that crashed");
-            Outcome.refuse(gateway, admitted, refusal, Optional.empty());
+            ResultReporter.refuse(gateway, admitted, refusal, Optional.empty());
             return;
         }
         if (needsUnavailableStore(admitted)) {
             // Without the store, the turn could not get a token grant or be stored after its run, so its work would be
             // lost.
-            if (!awaitRecovery(received, () -> !gateway.map().unavailable())) {
+            if (!awaitRecovery(received, () -> !gateway.store().isUnavailable())) {
                 Refusal refusal = refusalWithRetry(received, ResultCode.LOG_UNAVAILABLE, "the store is unavailable");
-                Outcome.refuse(gateway, admitted, refusal, Optional.empty());
+                ResultReporter.refuse(gateway, admitted, refusal, Optional.empty());
             }
             return;
         }
@@ -182,7 +184,8 @@
         if (exhausted.isPresent()) {
             // Checked before a rate token is taken: a program that loops on its exhausted budget must not use up the
             // rate of its account.
-            Outcome.refuse(gateway, admitted, StreamForwarder.exhaustedRefusal(exhausted.get()), Optional.empty());
+            ResultReporter.refuse(
+                    gateway, admitted, StreamForwarder.exhaustedRefusal(exhausted.get()), Optional.empty());
             return;
         }
         if (account.isEmpty()) {
@@ -201,7 +204,7 @@
         long maximumWait = startsWithoutWait
                 ? QuotaWaitPolicy.START_WAIT_MILLIS
                 : QuotaWaitPolicy.maximumWaitMillis(admitted.beginsProgram(), urgent, left);
-        gateway.quotas().take(account, maximumWait, result -> {
+        gateway.quotas().takeToken(account, maximumWait, result -> {
             if (result instanceof TokenSearch.Result.Granted granted) {
                 runAfter(granted.waitMillis(), admitted);
             } else if (result instanceof TokenSearch.Result.OverQuota overQuota) {
@@ -221,7 +224,7 @@
     }
 
     private boolean needsUnavailableStore(AdmittedRequest admitted) {
-        if (!gateway.map().unavailable()) {
+        if (!gateway.store().isUnavailable()) {
             return false;
         }
         return admitted.keepsHistory()
@@ -237,9 +240,9 @@
     }
 
     private void run(AdmittedRequest admitted) {
-        admitted.timeline().reached(RequestTimeline.Step.TOKEN);
+        admitted.timeline().markReached(RequestTimeline.Step.TOKEN);
         if (admitted.exchange().finished()) {
-            Outcome.log(gateway, admitted, ResultCode.CANCELLED, "the caller left", Optional.empty());
+            ResultReporter.logResult(gateway, admitted, ResultCode.CANCELLED, "the caller left", Optional.empty());
             return;
         }
         if (admitted.route().kind() == RequestKind.STREAM) {
@@ -256,7 +259,7 @@
         }
         Refusal refusal = Refusal.notRunRetryAfter(
                 ResultCode.NOT_READY, "no VM that holds a share of the quota answered", NO_HOLDER_RETRY_AFTER_MILLIS);
-        Outcome.refuse(gateway, admitted, refusal, Optional.empty());
+        ResultReporter.refuse(gateway, admitted, refusal, Optional.empty());
     }
 
     private void refuseOverQuota(AdmittedRequest admitted, AccountTerms account, long shortestMillis) {
@@ -267,7 +270,7 @@
         long wait = QuotaWaitPolicy.retryAfterMillis(delayedStart, account.ratePerSecond(), left, chance);
         String detail = "rate " + account.ratePerSecond() + ", token in " + shortestMillis + " ms";
         Refusal refusal = Refusal.notRunRetryAfter(ResultCode.RATE_EXCEEDED, detail, wait);
-        Outcome.refuse(gateway, admitted, refusal, Optional.empty());
+        ResultReporter.refuse(gateway, admitted, refusal, Optional.empty());
     }
 
     private Refusal refusalWithRetry(ReceivedRequest received, ResultCode code, String detail) {
@@ -281,6 +284,6 @@
     }
 
     private void refuse(HttpExchange exchange, String requestId, Refusal refusal) {
-        Outcome.refuse(gateway, exchange, requestId, refusal);
+        ResultReporter.refuse(gateway, exchange, requestId, refusal);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
@@ -24,8 +24,8 @@
  * @param arrivedMillis when it was fully received, on this VM's clock
  * @param deadlineMillis when its final response is due: the earlier of the caller's and the route's timeout
  * @param timeline times of its processing steps, for its log line
- * @param promptMayBeCached whether some endpoint may have its prompt cached, which means that
- *     an earlier turn of the same conversation may have run
+ * @param promptMayBeCached whether some endpoint may have its prompt cached, which means that an earlier turn of the
+ *     same conversation may have run
  */
 record AdmittedRequest(
         HttpExchange exchange,
--- a/server/src/main/java/org/quetzalshunt/server/gateway/BudgetManager.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/BudgetManager.java
@@ -94,7 +94,7 @@
     private static final char SEPARATOR = '/';
 
     private final EventExecutor executor;
-    private final StoreClient map;
+    private final StoreClient store;
     private final NodeClock clock;
     private final BooleanSupplier isolated;
     private final ExhaustionListener onExhausted;
@@ -118,7 +118,7 @@
      */
     BudgetManager(
             EventExecutor executor,
-            StoreClient map,
+            StoreClient store,
             NodeClock clock,
             GatewaySettings settings,
             BooleanSupplier isolated,
@@ -126,9 +126,9 @@
         this.onExhausted = onExhausted;
         this.isolated = isolated;
         this.executor = executor;
-        this.map = map;
+        this.store = store;
         this.clock = clock;
-        this.holder = settings.life();
+        this.holder = settings.incarnationId();
         this.transfersAllotments = settings.policy().has(Mechanism.PEER_HISTORY);
     }
 
@@ -166,7 +166,7 @@
      */
     boolean canGrantLocally(String program, long maximumTokens, long recordRetentionMillis) {
         ProgramState state = programs.get(program);
-        return state != null && state.allotment.covers(maximumTokens, clock.wall() + recordRetentionMillis);
+        return state != null && state.allotment.covers(maximumTokens, clock.wallMillis() + recordRetentionMillis);
     }
 
     /** Whether the budget, as last read, has room for several more turns, so that a grant is very likely. */
@@ -178,7 +178,7 @@
     /** The exhausted verdict, if what this VM has read makes it certain: allotments of other VMs never shrink. */
     Optional<Verdict.Exhausted> knownExhausted(String program, long budget, long maximumTokens) {
         ProgramState state = programs.get(program);
-        if (state == null || !state.allotment.known() || state.allotment.covers(maximumTokens, clock.wall())) {
+        if (state == null || !state.allotment.known() || state.allotment.covers(maximumTokens, clock.wallMillis())) {
             return Optional.empty();
         }
         if (state.allotment.wanted(budget, maximumTokens).isPresent()) {
@@ -201,7 +201,7 @@
             long retryUntilMillis,
             Consumer<Verdict> listener) {
         ProgramState state = stateOf(program);
-        if (state.allotment.covers(maximumTokens, clock.wall() + recordRetentionMillis)) {
+        if (state.allotment.covers(maximumTokens, clock.wallMillis() + recordRetentionMillis)) {
             state.allotment.started(maximumTokens);
             listener.accept(new Verdict.Granted());
             return;
@@ -259,7 +259,7 @@
 
     private void tryGrant(MapShard key, Shard shard, Pending pending) {
         ProgramState state = stateOf(pending.program());
-        long neededUntilMillis = clock.wall() + pending.recordRetentionMillis();
+        long neededUntilMillis = clock.wallMillis() + pending.recordRetentionMillis();
         if (state.allotment.covers(pending.maximumTokens(), neededUntilMillis)) {
             state.allotment.started(pending.maximumTokens());
             complete(shard, pending, new Verdict.Granted());
@@ -290,7 +290,7 @@
 
     private void readAllotments(MapShard key, Shard shard, Pending pending, ProgramState state) {
         String prefix = pending.program() + SEPARATOR;
-        map.range(key, prefix, answer -> {
+        store.range(key, prefix, answer -> {
             if (!(answer instanceof RangeAnswer.Page page)) {
                 retryLater(key, shard, pending);
                 return;
@@ -310,7 +310,7 @@
         long others = 0;
         long own = 0;
         long ownExpiresMillis = 0;
-        long expiredBefore = clock.wall() - EXPIRY_MARGIN_MILLIS;
+        long expiredBefore = clock.wallMillis() - EXPIRY_MARGIN_MILLIS;
         for (MapEntry entry : entries) {
             if (!entry.key().startsWith(prefix)) {
                 break;
@@ -331,9 +331,9 @@
     }
 
     private void raiseAllotment(MapShard key, Shard shard, Pending pending, ProgramState state, long tokens) {
-        long expiresMillis = clock.wall() + pending.recordRetentionMillis() + RENEWAL_MARGIN_MILLIS;
+        long expiresMillis = clock.wallMillis() + pending.recordRetentionMillis() + RENEWAL_MARGIN_MILLIS;
         MapEntry entry = allotmentEntry(pending.program(), tokens, expiresMillis);
-        map.append(key, List.of(entry), OptionalLong.of(shard.end), answer -> {
+        store.append(key, List.of(entry), OptionalLong.of(shard.end), answer -> {
             if (answer instanceof AppendAnswer.Appended appended) {
                 shard.end = appended.end();
                 state.allotment.granted(tokens, expiresMillis);
--- a/server/src/main/java/org/quetzalshunt/server/gateway/BufferedForwarder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/BufferedForwarder.java
@@ -67,7 +67,8 @@
     }
 
     private boolean mayRetry() {
-        return EndpointCall.repeatable(admitted) && attempts < admitted.route().maximumAttempts();
+        return EndpointCall.isIdempotent(admitted)
+                && attempts < admitted.route().maximumAttempts();
     }
 
     private void onAttemptTimeout() {
@@ -98,7 +99,7 @@
         }
         if (markFinished()) {
             admitted.exchange().respond(status, gateway.dialect().inbound(headers), body.toByteArray());
-            Outcome.log(gateway, admitted, ResultCode.OK, "status " + status, Optional.of(call));
+            ResultReporter.logResult(gateway, admitted, ResultCode.OK, "status " + status, Optional.of(call));
         }
     }
 
@@ -129,7 +130,7 @@
     }
 
     private void onDeadline() {
-        boolean mayHaveRun = call.running() || attempts > 1;
+        boolean mayHaveRun = call.isRunning() || attempts > 1;
         call.cancel(AttemptOutcome.ofLate(headers != null));
         refuse(
                 mayHaveRun
@@ -140,13 +141,13 @@
     private void onCallerDisconnected() {
         call.cancel(AttemptOutcome.NEUTRAL);
         if (markFinished()) {
-            Outcome.log(gateway, admitted, ResultCode.CANCELLED, "the caller left", Optional.of(call));
+            ResultReporter.logResult(gateway, admitted, ResultCode.CANCELLED, "the caller left", Optional.of(call));
         }
     }
 
     private void refuse(Refusal refusal) {
         if (markFinished()) {
-            Outcome.refuse(gateway, admitted, refusal, Optional.of(call));
+            ResultReporter.refuse(gateway, admitted, refusal, Optional.of(call));
         }
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/CallerRequest.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/CallerRequest.java
@@ -19,7 +19,8 @@
  * @param previousTurn id of the turn that this one continues
  * @param tokenBudget number of tokens that all turns of the program together may generate
  * @param promptTokens number of tokens of the whole prompt
- * @param prefixParts parts of the prompt in order; an engine's prompt cache is shared by requests with equal first parts
+ * @param prefixParts parts of the prompt in order; requests with equal first parts share these in an engine's
+ *     prompt cache
  * @param maximumTokens maximum number of tokens that this turn may generate
  */
 public record CallerRequest(
--- a/server/src/main/java/org/quetzalshunt/server/gateway/ChainExchange.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/ChainExchange.java
@@ -38,7 +38,7 @@
 
     private final EventExecutor executor;
     private final GatewaySettings settings;
-    private final StoreClient map;
+    private final StoreClient store;
     private final TurnHistory history;
     private final BudgetManager budgets;
     private final PeerConnections links;
@@ -49,13 +49,13 @@
     ChainExchange(
             EventExecutor executor,
             GatewaySettings settings,
-            StoreClient map,
+            StoreClient store,
             TurnHistory history,
             BudgetManager budgets,
             PeerConnections links) {
         this.executor = executor;
         this.settings = settings;
-        this.map = map;
+        this.store = store;
         this.history = history;
         this.budgets = budgets;
         this.links = links;
@@ -84,7 +84,7 @@
     private boolean shouldAskPeer(String turn) {
         // While the store fails, the new turn could not be stored. Reading the chain from the store detects that before
         // the turn is sent to an endpoint.
-        return settings.policy().has(Mechanism.PEER_HISTORY) && !history.holds(turn) && !map.failing();
+        return settings.policy().has(Mechanism.PEER_HISTORY) && !history.isCached(turn) && !store.isFailing();
     }
 
     /**
@@ -132,7 +132,7 @@
         if (!complete) {
             return;
         }
-        Optional<List<TurnRecord>> chain = history.heldChain(request.getTurn(), request.getAccount())
+        Optional<List<TurnRecord>> chain = history.cachedChain(request.getTurn(), request.getAccount())
                 .filter(turns -> turns.stream().mapToInt(TurnRecord::weight).sum() <= MAXIMUM_CHAIN_BYTES);
         if (chain.isPresent()) {
             answer(request, chain.get());
@@ -182,7 +182,7 @@
         answer.getTurns().stream()
                 .filter(turn -> turn.getId() != null && turn.getRecord() != null)
                 .flatMap(turn -> StoredRecords.turn(turn.getId(), turn.getRecord()).stream())
-                .forEach(history::hold);
+                .forEach(history::addToCache);
         complete(answer.getId());
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/ConfigurationFollower.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/ConfigurationFollower.java
@@ -16,116 +16,123 @@
 import org.quetzalshunt.core.store.RangeAnswer;
 
 /**
- * Follows what operators write, the configuration and the evacuations, by long polls, and knows since when it is proven current: from the moment at which the call
- * that reached the end of the shard was sent, since an answer says nothing of what came after it was made. Only higher
- * versions are taken, so that nothing late can take a VM back.
+ * Follows the operators' records (the configuration and the evacuations) by long polling, and tracks when the
+ * configuration was last confirmed as current. A response confirms it as of the time at which the call was sent, since
+ * it does not cover later changes. Only higher versions are applied, so that a late response cannot restore an older
+ * configuration.
  */
 final class ConfigurationFollower {
     private static final MapShard SHARD = MapShard.only(MapName.CONFIGURATION);
 
     /**
-     * A poll ends after this time without news. It bounds the age of the proof: a poll proves the moment at which it was
-     * sent, so the age runs from one to two seconds and a little for the way, and two polls in a row may fail before
-     * keys lapse at five seconds.
+     * Duration of a long poll that finds no changes. A poll confirms the configuration as of the time at which it was
+     * sent, so the confirmed age is between one and two seconds plus the network latency, and two polls in a row may
+     * fail before keys expire at five seconds.
      */
-    private static final long POLL_MILLIS = 1_000;
+    private static final long LONG_POLL_MILLIS = 1_000;
 
     private final EventExecutor executor;
-    private final StoreClient map;
+    private final StoreClient store;
     private final Dialect dialect;
     private final NodeClock clock;
     private final DecisionLog log;
-    private final Dependency dependency;
+    private final DependencyMonitor dependency;
     private final Evacuations evacuations;
     private final Consumer<TrafficConfiguration> onChange;
     private final Backoff backoff;
     private TrafficConfiguration current;
-    private long provenMillis = Long.MIN_VALUE / 2;
+    private long confirmedMillis = Long.MIN_VALUE / 2;
     private long next = -1;
-    /** Counts the series of polls; answers and timers of a former one are void. */
-    private int series;
+    /** Number of the current series of polls; responses and timers of earlier series are ignored. */
+    private int currentSeries;
 
-    private boolean failed;
+    private boolean lastCallFailed;
 
     ConfigurationFollower(
             EventExecutor executor,
-            StoreClient map,
+            StoreClient store,
             Dialect dialect,
             NodeClock clock,
             DecisionLog log,
             Evacuations evacuations,
             Consumer<TrafficConfiguration> onChange) {
         this.executor = executor;
-        this.map = map;
+        this.store = store;
         this.dialect = dialect;
         this.clock = clock;
         this.log = log;
-        this.dependency = new Dependency(log, "configuration");
+        this.dependency = new DependencyMonitor(log, "configuration");
         this.evacuations = evacuations;
         this.onChange = onChange;
         this.backoff = new Backoff(System.nanoTime());
     }
 
-    /** The configuration in force. */
+    /** The current configuration; empty before the first one is read. */
     Optional<TrafficConfiguration> current() {
         return Optional.ofNullable(current);
     }
 
-    /** Age of the proof that nothing newer exists, in milliseconds. */
+    /** Time since the configuration was last confirmed as current, in milliseconds. */
     long ageMillis() {
-        return clock.now() - provenMillis;
+        return clock.now() - confirmedMillis;
     }
 
-    /** The proof no longer counts, after a pause of unknown length. */
-    void lapse() {
-        provenMillis = Long.MIN_VALUE / 2;
+    /** Discards the confirmation, after a pause of the process of unknown length. */
+    void discardConfirmation() {
+        confirmedMillis = Long.MIN_VALUE / 2;
     }
 
     void start() {
-        map.onRegained(this::restart);
+        store.onRecovered(this::restart);
         restart();
     }
 
-    /** Guards against seconds after an outage in which keys still count as unproven, while a poll into it runs out. */
+    /**
+     * Starts a new series of polls, also when the store answers again after an outage. Otherwise API keys would stay
+     * unconfirmed for seconds after an outage, until a poll that was sent during the outage timed out.
+     */
     private void restart() {
-        series++;
+        currentSeries++;
         if (next < 0) {
-            readWhole(series, "", new WholeRead(clock.now()));
+            readAll(currentSeries, "", new FullRead(clock.now()));
         } else {
-            poll(series);
+            poll(currentSeries);
         }
     }
 
-    private void readWhole(int own, String after, WholeRead read) {
-        map.range(SHARD, after, answer -> {
-            if (own != series) {
+    private void readAll(int series, String after, FullRead read) {
+        store.range(SHARD, after, answer -> {
+            if (series != currentSeries) {
                 return;
             }
             if (!(answer instanceof RangeAnswer.Page page)) {
-                retry(own, ((RangeAnswer.Unavailable) answer).reason());
+                onFailure(series, ((RangeAnswer.Unavailable) answer).reason());
                 return;
             }
             read.add(page);
             if (page.more() && !page.entries().isEmpty()) {
-                readWhole(own, page.entries().get(page.entries().size() - 1).key(), read);
+                readAll(series, page.entries().get(page.entries().size() - 1).key(), read);
                 return;
             }
-            evacuations.replaced(read.evacuated);
-            take(read.entries);
+            evacuations.replaceAll(read.evacuated);
+            apply(read.entries);
             next = read.end;
-            proven(read.sentMillis);
-            poll(own);
+            confirm(read.sentMillis);
+            poll(series);
         });
     }
 
-    /** The pages of one read of the whole shard, which are no snapshot: what changed meanwhile is read again from there. */
-    private final class WholeRead {
+    /**
+     * Collects the pages of one read of the whole shard. The pages are not a snapshot: later changes are read from the
+     * end offset of the first page.
+     */
+    private final class FullRead {
         private final long sentMillis;
         private final List<MapEntry> entries = new ArrayList<>();
         private final Set<String> evacuated = new HashSet<>();
         private long end = -1;
 
-        WholeRead(long sentMillis) {
+        FullRead(long sentMillis) {
             this.sentMillis = sentMillis;
         }
 
@@ -137,57 +144,58 @@
         }
     }
 
-    private void poll(int own) {
+    private void poll(int series) {
         long sentMillis = clock.now();
-        // After a failure the proof is wanted at once, not after a poll's time without news.
-        long waitMillis = failed ? 0 : POLL_MILLIS;
-        map.changes(SHARD, next, waitMillis, answer -> {
-            if (own != series) {
+        // After a failure, a poll returns at once, so that the configuration is confirmed without the delay of a long
+        // poll.
+        long waitMillis = lastCallFailed ? 0 : LONG_POLL_MILLIS;
+        store.changes(SHARD, next, waitMillis, answer -> {
+            if (series != currentSeries) {
                 return;
             }
             if (answer instanceof ChangesAnswer.Changes changes) {
-                take(changes.entries());
+                apply(changes.entries());
                 next = changes.next();
                 if (changes.next() >= changes.end()) {
-                    proven(sentMillis);
+                    confirm(sentMillis);
                 }
-                poll(own);
+                poll(series);
                 return;
             }
             if (answer instanceof ChangesAnswer.Gone) {
                 next = -1;
-                readWhole(own, "", new WholeRead(clock.now()));
+                readAll(series, "", new FullRead(clock.now()));
                 return;
             }
-            retry(own, ((ChangesAnswer.Unavailable) answer).reason());
+            onFailure(series, ((ChangesAnswer.Unavailable) answer).reason());
         });
     }
 
-    private void proven(long sentMillis) {
-        failed = false;
+    private void confirm(long sentMillis) {
+        lastCallFailed = false;
         backoff.reset();
-        provenMillis = Math.max(provenMillis, sentMillis);
+        confirmedMillis = Math.max(confirmedMillis, sentMillis);
         dependency.answered();
     }
 
-    private void retry(int own, String reason) {
-        failed = true;
+    private void onFailure(int series, String reason) {
+        lastCallFailed = true;
         dependency.failed(reason);
-        executor.schedule(() -> retry(own), backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
+        executor.schedule(() -> retry(series), backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private void retry(int own) {
-        if (own == series) {
+    private void retry(int series) {
+        if (series == currentSeries) {
             restart();
         }
     }
 
-    private void take(List<MapEntry> entries) {
+    private void apply(List<MapEntry> entries) {
         for (MapEntry entry : entries) {
             dialect.evacuatedDataCentre(entry.key())
                     .ifPresentOrElse(
-                            dataCentre -> evacuations.changed(
-                                    dataCentre, entry.value().isPresent()),
+                            dataCentre ->
+                                    evacuations.update(dataCentre, entry.value().isPresent()),
                             () -> entry.value().flatMap(dialect::configuration).ifPresent(this::adopt));
         }
     }
@@ -196,7 +204,7 @@
         if (current != null && configuration.version() <= current.version()) {
             return;
         }
-        log.line(log.event("configuration")
+        log.write(log.event("configuration")
                 .put("version", configuration.version())
                 .put("before", current == null ? -1 : current.version())
                 .put("routes", configuration.routes().size())
--- a/server/src/main/java/org/quetzalshunt/server/gateway/CrashReporter.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/CrashReporter.java
@@ -16,8 +16,9 @@
 import org.quetzalshunt.server.http.HttpClient;
 
 /**
- * Finds out which requests were running where an endpoint crashed, and tells the other VMs through the shared map. A
- * broken connection alone is no crash, since answers get lost too: the endpoint must also refuse a new connection.
+ * Detects endpoint crashes and reports the requests that were running there to the other VMs through the store. A
+ * broken connection alone is no crash, since responses also get lost: the endpoint must refuse a new connection as
+ * well.
  */
 final class CrashReporter {
     static final String KEY_PREFIX = "crash/";
@@ -25,103 +26,113 @@
     private static final MapShard SHARD = MapShard.only(MapName.FLEET);
     private static final char SEPARATOR = '/';
 
-    /** A crashed endpoint is back after seconds; one that only lost an answer takes a connection at any time. */
-    private static final long PROBE_AFTER_MILLIS = 100;
+    /**
+     * Delay before an endpoint is probed. A crashed endpoint is down for seconds, while one whose response was lost
+     * accepts a connection at any time.
+     */
+    private static final long PROBE_DELAY_MILLIS = 100;
 
-    private static final long PROBE_MILLIS = 500;
+    private static final long PROBE_TIMEOUT_MILLIS = 500;
 
-    /** Octets of the digest that are kept: two requests in 2^64 collide. */
+    /** Bytes of the SHA-256 digest in a fingerprint; two given requests collide with a probability of 2^-64. */
     private static final int DIGEST_BYTES = 8;
 
     private final EventExecutor executor;
     private final HttpClient http;
-    private final StoreClient map;
+    private final StoreClient store;
     private final NodeClock clock;
     private final DecisionLog log;
-    private final String life;
+    private final String incarnationId;
     private final CrashTable table = CrashTable.create();
     private long crashes;
 
     CrashReporter(
             EventExecutor executor,
             HttpClient http,
-            StoreClient map,
+            StoreClient store,
             NodeClock clock,
             DecisionLog log,
             GatewaySettings settings) {
         this.executor = executor;
         this.http = http;
-        this.map = map;
+        this.store = store;
         this.clock = clock;
         this.log = log;
-        this.life = settings.life();
+        this.incarnationId = settings.incarnationId();
     }
 
-    /** Whether the request must not run. */
-    boolean quarantined(AdmittedRequest admitted) {
+    /** Whether the request must not run because endpoints crashed while running it. */
+    boolean isQuarantined(AdmittedRequest admitted) {
         return !table.isEmpty() && table.quarantined(clock.now(), fingerprint(admitted));
     }
 
-    /** The request was answered whole. */
-    void answered(AdmittedRequest admitted) {
+    /** Removes the crash reports of a request that an endpoint answered completely. */
+    void onAnswered(AdmittedRequest admitted) {
         if (!table.isEmpty()) {
             table.answered(fingerprint(admitted));
         }
     }
 
-    /** The connection broke while an endpoint may have been running the request. */
-    void broke(AdmittedRequest admitted, Registration endpoint) {
+    /**
+     * Probes an endpoint whose connection broke while it may have been running the request, and reports a crash if it
+     * is down.
+     */
+    void onConnectionBroken(AdmittedRequest admitted, Registration endpoint) {
         InetSocketAddress address = EndpointCall.address(endpoint.address());
         executor.schedule(
-                () -> http.probe(address, PROBE_MILLIS, reachable -> {
+                () -> http.probe(address, PROBE_TIMEOUT_MILLIS, reachable -> {
                     if (!reachable) {
-                        crashed(admitted, endpoint);
+                        reportCrash(admitted, endpoint);
                     }
                 }),
-                PROBE_AFTER_MILLIS,
+                PROBE_DELAY_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void crashed(AdmittedRequest admitted, Registration endpoint) {
+    private void reportCrash(AdmittedRequest admitted, Registration endpoint) {
         String fingerprint = fingerprint(admitted);
-        String crash = life + "-" + crashes++;
-        log.line(log.event("endpoint-crashed")
+        String crash = incarnationId + "-" + crashes++;
+        log.write(log.event("endpoint-crashed")
                 .put("request", admitted.request().id())
                 .put("fingerprint", fingerprint)
                 .put("endpoint", endpoint.id()));
         table.crashed(clock.now(), fingerprint, crash);
-        String until = Long.toString(clock.wall() + CrashTable.KEEP_MILLIS);
+        String expires = Long.toString(clock.wallMillis() + CrashTable.KEEP_MILLIS);
         MapEntry entry =
-                MapEntry.of(KEY_PREFIX + fingerprint + SEPARATOR + crash, until.getBytes(StandardCharsets.US_ASCII));
-        map.append(SHARD, List.of(entry), OptionalLong.empty(), answer -> {});
+                MapEntry.of(KEY_PREFIX + fingerprint + SEPARATOR + crash, expires.getBytes(StandardCharsets.US_ASCII));
+        store.append(SHARD, List.of(entry), OptionalLong.empty(), answer -> {});
     }
 
-    /** A crash that some VM told of; one that no longer counts is passed over. */
-    void heard(MapEntry entry) {
+    /** Adds a crash that some VM reported; expired reports are ignored. */
+    void onCrashReport(MapEntry entry) {
         int separator = entry.key().lastIndexOf(SEPARATOR);
         if (entry.value().isEmpty()
                 || separator <= KEY_PREFIX.length()
-                || until(entry.value().get()) < clock.wall()) {
+                || expiryMillis(entry.value().get()) < clock.wallMillis()) {
             return;
         }
         String fingerprint = entry.key().substring(KEY_PREFIX.length(), separator);
         table.crashed(clock.now(), fingerprint, entry.key().substring(separator + 1));
     }
 
-    private static long until(byte[] value) {
+    private static long expiryMillis(byte[] value) {
         try {
             return Long.parseLong(new String(value, StandardCharsets.US_ASCII));
         } catch (NumberFormatException notANumber) {
-            // Another writer's record: it counts for nothing.
+            // Not written by a gateway; treated as expired.
             return Long.MIN_VALUE;
         }
     }
 
-    /** What stays the same when a caller sends a request again: method, path, account and body. */
+    /**
+     * Digest of the parts of a request that stay the same when its caller retries it: method, URI, account and body.
+     */
     private static String fingerprint(AdmittedRequest admitted) {
-        String head = admitted.exchange().method() + ' ' + admitted.exchange().uri() + ' ' + admitted.accountName();
+        String description =
+                admitted.exchange().method() + ' ' + admitted.exchange().uri() + ' ' + admitted.accountName();
         byte[] digest = Digests.sha256(
-                head.getBytes(StandardCharsets.UTF_8), admitted.exchange().body());
+                description.getBytes(StandardCharsets.UTF_8),
+                admitted.exchange().body());
         return HexFormat.of().formatHex(digest, 0, DIGEST_BYTES);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/DecisionLog.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/DecisionLog.java
@@ -9,14 +9,15 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * Structured log: one JSON object a line. The event loop only puts lines into a bounded queue, which a thread of its own
- * writes out; a full queue drops the line and counts it, so that a slow reader of the log never holds up a request.
+ * Structured log with one JSON object per line. The event loop only puts lines into a bounded queue, which a separate
+ * thread writes out. If the queue is full, the line is dropped and counted, so that a slow reader of the log never
+ * delays a request.
  */
 final class DecisionLog {
-    /** About a second of lines at the design's peak of one VM. */
-    private static final int QUEUE_LINES = 2_048;
+    /** About one second of log lines at the designed peak load of one VM. */
+    private static final int MAXIMUM_QUEUED_LINES = 2_048;
 
-    private final BlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(QUEUE_LINES);
+    private final BlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(MAXIMUM_QUEUED_LINES);
     private final AtomicLong dropped = new AtomicLong();
     private final String vm;
     private final PrintStream out;
@@ -26,16 +27,16 @@
         this.out = out;
     }
 
-    /** Starts the writing thread. */
+    /** Creates a log and starts its writer thread. */
     static DecisionLog start(String vm, PrintStream out) {
         DecisionLog log = new DecisionLog(vm, out);
-        Thread writer = new Thread(log::write, "decision-log");
+        Thread writer = new Thread(log::writeLoop, "decision-log");
         writer.setDaemon(true);
         writer.start();
         return log;
     }
 
-    /** An object to fill in and give to {@link #line}. */
+    /** Creates an event to be filled in and passed to {@link #write}. */
     ObjectNode event(String name) {
         return Json.object()
                 .put("time", System.currentTimeMillis())
@@ -43,19 +44,20 @@
                 .put("event", name);
     }
 
-    void line(ObjectNode event) {
-        long lost = dropped.get();
-        if (lost > 0) {
-            event.put("droppedBefore", lost);
+    /** Queues an event; the first one after dropped lines also reports how many were dropped. */
+    void write(ObjectNode event) {
+        long droppedBefore = dropped.get();
+        if (droppedBefore > 0) {
+            event.put("droppedBefore", droppedBefore);
         }
         if (!queue.offer((event.toString() + "\n").getBytes(StandardCharsets.UTF_8))) {
             dropped.incrementAndGet();
             return;
         }
-        dropped.addAndGet(-lost);
+        dropped.addAndGet(-droppedBefore);
     }
 
-    private void write() {
+    private void writeLoop() {
         try {
             while (true) {
                 byte[] line = queue.take();
--- a/server/src/main/java/org/quetzalshunt/server/gateway/Dialect.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/Dialect.java
@@ -7,32 +7,40 @@
 import org.quetzalshunt.core.routing.Registration;
 import org.quetzalshunt.server.http.HttpExchange;
 
-/** How the platform's callers, endpoints and operators say things; implementations decide nothing. */
+/**
+ * Encodes and decodes requests, headers and records in the platform's formats. Implementations convert only and make
+ * no decisions.
+ */
 public interface Dialect {
-    /** Decodes a request; empty when it lacks its id. */
+    /** Decodes a request; empty if it has no id. */
     Optional<CallerRequest> request(HttpExchange exchange);
 
-    /** Headers of the request as an endpoint gets it: the caller's, less what only the system may set. */
+    /**
+     * Headers of the request to an endpoint: the caller's headers without those that only the gateway may set, plus
+     * the given terms.
+     */
     HttpHeaders outbound(HttpHeaders callerHeaders, OutboundTerms terms);
 
-    /** Whether an endpoint's answer, by its headers, is one to this request. */
+    /** Whether the headers of a response identify it as the response to this request. */
     boolean answers(String requestId, HttpHeaders answerHeaders);
 
-    /** Kind of an endpoint's response. */
+    /** Kind of an endpoint's response, by its status and headers. */
     ResponseKind head(int status, HttpHeaders answerHeaders);
 
-    /** Headers of an endpoint's answer as the caller gets them. */
+    /** Headers of the response to the caller, from those of the endpoint's response. */
     HttpHeaders inbound(HttpHeaders answerHeaders);
 
-    /** Headers of a refusal. */
+    /** Headers of an error response. */
     HttpHeaders refusal(Refusal refusal, String requestId);
 
-    /** A configuration from its bytes; empty when it is none. */
+    /** Decodes a configuration; empty if the bytes are not a valid one. */
     Optional<TrafficConfiguration> configuration(byte[] bytes);
 
-    /** The data centre that a record of the operators' map evacuates, by its key; empty for a record of another kind. */
+    /**
+     * The data centre that an operator's record evacuates, by the key of the record; empty for other kinds of records.
+     */
     Optional<String> evacuatedDataCentre(String key);
 
-    /** A registration from its key and bytes; empty when it names no endpoint to use. */
+    /** Decodes a registration; empty if it describes no usable endpoint. */
     Optional<Registration> registration(String id, byte[] bytes);
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
@@ -25,11 +25,12 @@
 import org.quetzalshunt.server.http.OutboundRequest;
 
 /**
- * Takes one request to an endpoint that runs it. An endpoint that says "not run", or that could not be reached at all,
- * is followed by the next; everything else is passed to the listener, which decides whether the request may run again.
+ * Sends one request to an endpoint of its service. If the endpoint cannot be reached or answers that it did not run
+ * the request, the next endpoint is tried. All other results are passed to the listener, which decides whether the
+ * request may be retried.
  */
 final class EndpointCall {
-    /** Hears one answer: a head with its data and end, or that it broke off, or that nothing ran. */
+    /** Receives the result of a request: a response (headers, data and end), a failure, or a refusal without a run. */
     interface Listener {
         void onHead(ResponseKind head, int status, HttpHeaders headers);
 
@@ -37,37 +38,50 @@
 
         void onEnd();
 
-        /** The request may have run, and no whole answer will come. */
+        /** The request may have run, and no complete response will follow. */
         void onBroken(String reason);
 
-        /** The request ran nowhere. */
+        /** No endpoint ran the request. */
         void onRefused(Refusal refusal);
     }
 
-    /** With less left than this, no endpoint could answer in time; the way there and back alone takes a few. */
-    private static final long LEAST_MILLIS = 15;
+    /** With less time left than this, a request is not sent: the network round trip alone takes a few milliseconds. */
+    private static final long MINIMUM_REMAINING_MILLIS = 15;
 
-    /** Both ways between data centres take about a millisecond; a listening endpoint answers at once. */
-    private static final long CONNECT_MILLIS = 300;
+    /**
+     * Connect timeout: a round trip between data centres takes about a millisecond, and a listening endpoint accepts
+     * at once.
+     */
+    private static final long CONNECT_TIMEOUT_MILLIS = 300;
 
-    /** Endpoints keep idle connections for several seconds; one that was idle for longer may be half-open. */
-    private static final long REUSE_MILLIS = 4_000;
+    /**
+     * Pooled connections that were idle for longer are not reused: endpoints close idle connections after several
+     * seconds, so that the connection may be half-open.
+     */
+    private static final long MAXIMUM_IDLE_MILLIS = 4_000;
 
-    /** When every endpoint is full: about the time in which one of a dozen running turns ends somewhere. */
-    private static final long FULL_PAUSE_MILLIS = 25;
+    /**
+     * Pause before the next selection when every endpoint is full: about the time in which one of a dozen running
+     * turns ends.
+     */
+    private static final long ALL_FULL_PAUSE_MILLIS = 25;
 
-    /** For callers that were refused because every endpoint is full: a turn's length, so that places are free again. */
-    private static final long FULL_RETRY_MILLIS = 250;
+    /** Retry-After when every endpoint is full: about the length of a turn, so that endpoints have free slots again. */
+    private static final long ALL_FULL_RETRY_AFTER_MILLIS = 250;
 
     /**
-     * An endpoint that has not begun its answer after this many times the route's target gets no more work for a while.
-     * Guards against endpoints that take requests and answer none, which shows as callers that all wait until their
-     * deadline: without it, it looks idle until the first of them is over. A sound one begins within the target.
+     * An endpoint that has not sent response headers after this many times the route's target latency gets no more
+     * work for a while; a healthy endpoint responds within the target latency. Guards against an endpoint that accepts
+     * requests and answers none: it would look idle until the first request reached its deadline, and all callers
+     * would wait for theirs.
      */
-    private static final double SILENT_TARGETS = 2;
+    private static final double HEADERS_TIMEOUT_TARGETS = 2;
 
-    /** Part of what a cold endpoint bears that all VMs together send it; VMs may disagree on how many they are. */
-    private static final double COLD_PART = 0.5;
+    /**
+     * Share of the request rate of a cold endpoint that all VMs together use. The rest is a margin, since VMs may
+     * disagree on the number of live VMs.
+     */
+    private static final double COLD_RATE_SHARE = 0.5;
 
     private final Gateway gateway;
     private final AdmittedRequest admitted;
@@ -75,15 +89,15 @@
     private final Listener listener;
     private final Set<String> excluded = new HashSet<>();
     private Registration endpoint;
-    private Selection choice;
+    private Selection selection;
     private HttpCall call;
-    private ScheduledFuture<?> pause;
-    private ScheduledFuture<?> silence;
+    private ScheduledFuture<?> pendingRetry;
+    private ScheduledFuture<?> headersTimeout;
     private long sentMillis;
     private OptionalLong firstSentMillis = OptionalLong.empty();
     private boolean done;
     private boolean prefillDone = true;
-    private int sends;
+    private int attemptCount;
 
     EndpointCall(Gateway gateway, AdmittedRequest admitted, byte[] body, Listener listener) {
         this.gateway = gateway;
@@ -92,29 +106,32 @@
         this.listener = listener;
     }
 
-    /** Sends the request, again after an earlier answer was broken or given up. */
+    /** Sends the request. May be called again after an earlier attempt broke off or was cancelled. */
     void start() {
         done = false;
         send();
     }
 
-    /** Gives up the present attempt; its endpoint is not chosen again. The listener receives nothing more of it. */
-    void cancel(AttemptOutcome finish) {
+    /**
+     * Cancels the current attempt and excludes its endpoint from later ones. The listener receives nothing more of
+     * this attempt.
+     */
+    void cancel(AttemptOutcome outcome) {
         if (done) {
             return;
         }
         done = true;
-        if (pause != null) {
-            pause.cancel(false);
+        if (pendingRetry != null) {
+            pendingRetry.cancel(false);
         }
         if (call != null) {
             call.cancel();
-            ended(finish);
+            endAttempt(outcome);
         }
     }
 
     /** Whether an endpoint may be running the request. */
-    boolean running() {
+    boolean isRunning() {
         return !done && call != null;
     }
 
@@ -123,99 +140,110 @@
         return Optional.ofNullable(endpoint);
     }
 
-    /** What was believed of that endpoint when it was chosen. */
-    Optional<Selection> choice() {
-        return Optional.ofNullable(choice);
+    /** The selection of the last attempt, with the estimates made at that time. */
+    Optional<Selection> selection() {
+        return Optional.ofNullable(selection);
     }
 
-    /** When the last attempt began, on this VM's clock. */
+    /** When the last attempt was sent, on this VM's clock. */
     long sentMillis() {
         return sentMillis;
     }
 
-    /** When the first attempt began, on this VM's clock; empty before it. */
+    /** When the first attempt was sent, on this VM's clock; empty before. */
     OptionalLong firstSentMillis() {
         return firstSentMillis;
     }
 
-    /** Attempts made. */
-    int sends() {
-        return sends;
+    /** Number of attempts sent. */
+    int attemptCount() {
+        return attemptCount;
     }
 
     private void send() {
         long now = gateway.clock().now();
-        long remaining = admitted.deadlineMillis() - now;
-        if (remaining < LEAST_MILLIS) {
+        long remainingMillis = admitted.deadlineMillis() - now;
+        if (remainingMillis < MINIMUM_REMAINING_MILLIS) {
             refuse(Refusal.notRun(ResultCode.DEADLINE_UNREACHABLE, "no time left"));
             return;
         }
         RoutingRequest request = routingRequest();
-        Optional<Selection> chosen = gateway.endpoints().select(now, request);
-        if (chosen.isEmpty()) {
-            noEndpoint(remaining, request.limits());
+        Optional<Selection> selected = gateway.endpoints().select(now, request);
+        if (selected.isEmpty()) {
+            onNoEndpoint(remainingMillis, request.limits());
             return;
         }
-        choice = chosen.get();
-        endpoint = choice.registration();
+        selection = selected.get();
+        endpoint = selection.registration();
         sentMillis = now;
         firstSentMillis = firstSentMillis.isPresent() ? firstSentMillis : OptionalLong.of(now);
-        sends++;
+        attemptCount++;
         excluded.add(endpoint.id());
         gateway.endpoints().started(endpoint.id());
-        gateway.endpoints().prompted(endpoint.id(), request, choice.uncachedTokens());
+        gateway.endpoints().prompted(endpoint.id(), request, selection.uncachedTokens());
         prefillDone = false;
-        watchSilence();
-        call = gateway.http().send(request(remaining), times(remaining), this::own, new Answer());
+        startHeadersTimeout();
+        call = gateway.http()
+                .send(
+                        outboundRequest(remainingMillis),
+                        callTimes(remainingMillis),
+                        this::isOwnResponse,
+                        new ResponseHandler());
     }
 
-    private void watchSilence() {
+    private void startHeadersTimeout() {
         String id = endpoint.id();
-        long millis = Math.max(1, (long) (SILENT_TARGETS * admitted.route().targetLatencyMillis()));
-        silence = gateway.executor()
-                .schedule(() -> gateway.endpoints().silent(gateway.clock().now(), id), millis, TimeUnit.MILLISECONDS);
+        long timeoutMillis =
+                Math.max(1, (long) (HEADERS_TIMEOUT_TARGETS * admitted.route().targetLatencyMillis()));
+        headersTimeout = gateway.executor()
+                .schedule(
+                        () -> gateway.endpoints().silent(gateway.clock().now(), id),
+                        timeoutMillis,
+                        TimeUnit.MILLISECONDS);
     }
 
     private RoutingRequest routingRequest() {
-        int vms = Math.max(1, gateway.quotas().liveVms());
-        int most = Math.max(2, admitted.service().maximumConnections() / vms);
-        long memory = admitted.service()
+        int liveVms = Math.max(1, gateway.quotas().liveVms());
+        int maximumInFlight = Math.max(2, admitted.service().maximumConnections() / liveVms);
+        long cacheTokens = admitted.service()
                 .engine()
                 .map(EngineShape::cacheTokens)
                 .filter(tokens -> tokens > 0)
                 .orElse(Long.MAX_VALUE);
-        double cold = COLD_PART * admitted.service().coldRequestsPerSecond() / vms;
+        double coldRequestsPerSecond = COLD_RATE_SHARE * admitted.service().coldRequestsPerSecond() / liveVms;
         EndpointLimits limits = new EndpointLimits(
-                most,
-                cold > 0 ? cold : Double.POSITIVE_INFINITY,
+                maximumInFlight,
+                coldRequestsPerSecond > 0 ? coldRequestsPerSecond : Double.POSITIVE_INFINITY,
                 admitted.homeDataCentres(gateway.settings().regions()));
         return new RoutingRequest(
-                admitted.service().name(), excluded, admitted.request().prefixParts(), memory, limits);
+                admitted.service().name(), excluded, admitted.request().prefixParts(), cacheTokens, limits);
     }
 
-    private void noEndpoint(long remaining, EndpointLimits limits) {
+    private void onNoEndpoint(long remainingMillis, EndpointLimits limits) {
         switch (gateway.endpoints().availability(admitted.service().name(), limits)) {
             case EVACUATED ->
                 refuse(Refusal.notRunRetryAfter(
                         ResultCode.EVACUATED,
                         "evacuated: " + gateway.evacuations().ageMillis().keySet(),
-                        gateway.outageRetryAfterMillis(remaining)));
+                        gateway.outageRetryAfterMillis(remainingMillis)));
             case NONE ->
-                refuse(Refusal.notRunRetryAfter(ResultCode.NO_ENDPOINT, "no endpoint is known", FULL_RETRY_MILLIS));
-            case AVAILABLE -> allFull(remaining);
+                refuse(Refusal.notRunRetryAfter(
+                        ResultCode.NO_ENDPOINT, "no endpoint is known", ALL_FULL_RETRY_AFTER_MILLIS));
+            case AVAILABLE -> retryWhenFree(remainingMillis);
         }
     }
 
-    private void allFull(long remaining) {
-        if (remaining < FULL_RETRY_MILLIS) {
-            refuse(Refusal.notRunRetryAfter(ResultCode.NO_ENDPOINT, "every endpoint is full", FULL_RETRY_MILLIS));
+    private void retryWhenFree(long remainingMillis) {
+        if (remainingMillis < ALL_FULL_RETRY_AFTER_MILLIS) {
+            refuse(Refusal.notRunRetryAfter(
+                    ResultCode.NO_ENDPOINT, "every endpoint is full", ALL_FULL_RETRY_AFTER_MILLIS));
             return;
         }
         excluded.clear();
-        pause = gateway.executor().schedule(this::resume, FULL_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        pendingRetry = gateway.executor().schedule(this::sendAgain, ALL_FULL_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void resume() {
+    private void sendAgain() {
         if (!done) {
             send();
         }
@@ -226,13 +254,13 @@
         listener.onRefused(refusal);
     }
 
-    private OutboundRequest request(long remaining) {
+    private OutboundRequest outboundRequest(long remainingMillis) {
         HttpHeaders headers = gateway.dialect()
                 .outbound(
                         admitted.exchange().rawHeaders(),
                         new OutboundTerms(
                                 endpoint.id(),
-                                remaining,
+                                remainingMillis,
                                 admitted.account().map(account -> account.name()),
                                 admitted.urgency()));
         return new OutboundRequest(
@@ -243,99 +271,102 @@
                 body);
     }
 
-    /** An address from an endpoint's registration, which was checked when it was read. */
+    /** Parses the address of a registration, which was validated when the registration was decoded. */
     static InetSocketAddress address(String text) {
         return IpPort.parse(text).orElseThrow();
     }
 
-    private static CallTimes times(long remaining) {
-        return new CallTimes(Math.min(CONNECT_MILLIS, remaining), remaining, REUSE_MILLIS);
+    private static CallTimes callTimes(long remainingMillis) {
+        return new CallTimes(Math.min(CONNECT_TIMEOUT_MILLIS, remainingMillis), remainingMillis, MAXIMUM_IDLE_MILLIS);
     }
 
-    private boolean own(HttpHeaders headers) {
+    private boolean isOwnResponse(HttpHeaders headers) {
         return gateway.dialect().answers(admitted.request().id(), headers);
     }
 
-    /** The endpoint has read the prompt of the present attempt, or will not. */
-    void prefillDone() {
+    /**
+     * Removes the prompt of the current attempt from the endpoint's prefill backlog, because the endpoint has
+     * processed it or will not.
+     */
+    void markPrefillDone() {
         if (!prefillDone) {
             prefillDone = true;
-            gateway.endpoints().prefillDone(endpoint.id(), choice.uncachedTokens());
+            gateway.endpoints().prefillDone(endpoint.id(), selection.uncachedTokens());
         }
     }
 
-    private void ended(AttemptOutcome finish) {
+    private void endAttempt(AttemptOutcome outcome) {
         call = null;
-        silence.cancel(false);
+        headersTimeout.cancel(false);
         long now = gateway.clock().now();
-        prefillDone();
-        gateway.endpoints().finished(now, endpoint.id(), finish, now - sentMillis);
-        gateway.measures().attempt(finish.name().toLowerCase(Locale.ROOT));
+        markPrefillDone();
+        gateway.endpoints().finished(now, endpoint.id(), outcome, now - sentMillis);
+        gateway.metrics().countAttempt(outcome.name().toLowerCase(Locale.ROOT));
     }
 
-    /** Receives the present attempt's response. */
-    private final class Answer implements HttpResponseListener {
+    /** Handles the response to the current attempt. */
+    private final class ResponseHandler implements HttpResponseListener {
         private ResponseKind head;
 
         @Override
         public void onHead(int status, HttpHeaders headers) {
-            silence.cancel(false);
+            headersTimeout.cancel(false);
             head = gateway.dialect().head(status, headers);
-            if (passes()) {
+            if (isForwarded()) {
                 listener.onHead(head, status, headers);
                 return;
             }
             if (head == ResponseKind.INVALID) {
                 call.cancel();
-                ended(AttemptOutcome.FAILED);
+                endAttempt(AttemptOutcome.FAILED);
                 done = true;
-                listener.onBroken("no answer in the protocol, status " + status);
+                listener.onBroken("the answer violates the protocol, status " + status);
             }
         }
 
-        private boolean passes() {
+        private boolean isForwarded() {
             return head == ResponseKind.SUCCESS || head == ResponseKind.FAILURE;
         }
 
-        private boolean notRun() {
+        private boolean isNotRun() {
             return head == ResponseKind.NOT_RUN_FULL || head == ResponseKind.NOT_RUN_MOVED;
         }
 
         @Override
         public void onChunk(byte[] data) {
-            if (passes()) {
+            if (isForwarded()) {
                 listener.onData(data);
             }
         }
 
         @Override
         public void onEnd() {
-            if (notRun()) {
-                ended(head == ResponseKind.NOT_RUN_FULL ? AttemptOutcome.FULL : AttemptOutcome.FAILED);
+            if (isNotRun()) {
+                endAttempt(head == ResponseKind.NOT_RUN_FULL ? AttemptOutcome.FULL : AttemptOutcome.FAILED);
                 send();
                 return;
             }
-            ended(head == ResponseKind.SUCCESS ? AttemptOutcome.ANSWERED : AttemptOutcome.ERRORED);
+            endAttempt(head == ResponseKind.SUCCESS ? AttemptOutcome.ANSWERED : AttemptOutcome.ERRORED);
             done = true;
-            gateway.crashes().answered(admitted);
+            gateway.crashes().onAnswered(admitted);
             listener.onEnd();
         }
 
         @Override
         public void onFailure(String reason, boolean requestMayHaveArrived) {
-            ended(AttemptOutcome.FAILED);
-            if (notRun() || !requestMayHaveArrived) {
+            endAttempt(AttemptOutcome.FAILED);
+            if (isNotRun() || !requestMayHaveArrived) {
                 send();
                 return;
             }
             done = true;
-            gateway.crashes().broke(admitted, endpoint);
+            gateway.crashes().onConnectionBroken(admitted, endpoint);
             listener.onBroken(reason);
         }
     }
 
-    /** Whether the request may run again after an unknown outcome, by its kind alone. */
-    static boolean repeatable(AdmittedRequest admitted) {
+    /** Whether the kind of the request allows a retry after an unknown outcome. */
+    static boolean isIdempotent(AdmittedRequest admitted) {
         return admitted.route().kind() == RequestKind.IDEMPOTENT;
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/Evacuations.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/Evacuations.java
@@ -8,8 +8,8 @@
 import org.quetzalshunt.core.routing.EndpointTable;
 
 /**
- * The data centres that operators evacuate. They stay evacuated while the store is unavailable: a VM that cannot read it goes
- * by what it read last, and keeps to it for as long as its configuration counts as current.
+ * Tracks the data centres that operators evacuate. While the store is unavailable, the last state that was read stays
+ * in effect, for as long as the configuration of this VM counts as current.
  */
 final class Evacuations {
     private final EndpointTable endpoints;
@@ -23,44 +23,47 @@
         this.log = log;
     }
 
-    /** Data centres evacuated now, each with the time since this VM learnt of it, in milliseconds. */
+    /** The evacuated data centres, each with the time since this VM read its evacuation, in milliseconds. */
     Map<String, Long> ageMillis() {
         Map<String, Long> ages = new HashMap<>();
         sinceMillis.forEach((dataCentre, since) -> ages.put(dataCentre, clock.now() - since));
         return ages;
     }
 
-    /** An operator's record about a data centre was read. */
-    void changed(String dataCentre, boolean evacuated) {
-        Set<String> wanted = new HashSet<>(sinceMillis.keySet());
+    /** Applies an operator's record about one data centre. */
+    void update(String dataCentre, boolean evacuated) {
+        Set<String> updated = new HashSet<>(sinceMillis.keySet());
         if (evacuated) {
-            wanted.add(dataCentre);
+            updated.add(dataCentre);
         } else {
-            wanted.remove(dataCentre);
+            updated.remove(dataCentre);
         }
-        replaced(wanted);
+        replaceAll(updated);
     }
 
-    /** All operators' records were read: what is not among them has ended, whether or not its removal was seen. */
-    void replaced(Set<String> dataCentres) {
+    /**
+     * Replaces the set of evacuated data centres after a read of all records; evacuations that are not among them have
+     * ended, even if this VM did not read their removal.
+     */
+    void replaceAll(Set<String> dataCentres) {
         if (dataCentres.equals(sinceMillis.keySet())) {
             return;
         }
-        dataCentres.stream().filter(each -> !sinceMillis.containsKey(each)).forEach(this::began);
+        dataCentres.stream().filter(each -> !sinceMillis.containsKey(each)).forEach(this::onStarted);
         Set.copyOf(sinceMillis.keySet()).stream()
                 .filter(each -> !dataCentres.contains(each))
-                .forEach(this::ended);
+                .forEach(this::onEnded);
         endpoints.setEvacuated(dataCentres);
     }
 
-    private void began(String dataCentre) {
+    private void onStarted(String dataCentre) {
         sinceMillis.put(dataCentre, clock.now());
-        log.line(event(dataCentre, true));
+        log.write(event(dataCentre, true));
     }
 
-    private void ended(String dataCentre) {
-        long ageMillis = clock.now() - sinceMillis.remove(dataCentre);
-        log.line(event(dataCentre, false).put("lastedMillis", ageMillis));
+    private void onEnded(String dataCentre) {
+        long durationMillis = clock.now() - sinceMillis.remove(dataCentre);
+        log.write(event(dataCentre, false).put("lastedMillis", durationMillis));
     }
 
     private ObjectNode event(String dataCentre, boolean evacuated) {
--- a/server/src/main/java/org/quetzalshunt/server/gateway/EventFrames.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/EventStreamDecoder.java
@@ -7,11 +7,12 @@
 import org.quetzalshunt.core.attempt.EventStreamParser;
 
 /**
- * Cuts an event stream (WHATWG HTML, section 9.2.6) into whole events with their octets unchanged, so that a stream that
- * breaks off in mid-event never shows a caller half of one. Ids must grow: a repeat or a step back is a broken stream.
+ * Splits an event stream (WHATWG HTML, section 9.2.6) into complete events whose bytes stay unchanged, so that a
+ * caller never sees part of an event when the stream breaks off. Event ids must increase; a repeated or lower id marks
+ * the stream as broken.
  */
-final class EventFrames {
-    /** One event. */
+final class EventStreamDecoder {
+    /** A complete event: its bytes as received, and its decoded data. */
     record Frame(byte[] octets, byte[] data) {}
 
     private static final String ID_FIELD = "id:";
@@ -23,15 +24,15 @@
     private long lastId = Long.MIN_VALUE;
     private boolean broken;
 
-    private EventFrames() {}
+    private EventStreamDecoder() {}
 
-    /** A stream that has not begun. */
-    static EventFrames create() {
-        return new EventFrames();
+    /** Creates a decoder for a new stream. */
+    static EventStreamDecoder create() {
+        return new EventStreamDecoder();
     }
 
-    /** Takes octets and gives the events that they end. */
-    List<Frame> accept(byte[] octets) {
+    /** Decodes the next bytes of the stream and returns the events that they complete. */
+    List<Frame> decode(byte[] octets) {
         List<Frame> frames = new ArrayList<>();
         int start = 0;
         for (int index = 0; index < octets.length; index++) {
@@ -42,7 +43,7 @@
             if (current == '\n' && previous == '\n') {
                 pending.write(octets, start, index + 1 - start);
                 start = index + 1;
-                frame(pending.toByteArray(), frames);
+                addFrame(pending.toByteArray(), frames);
                 pending.reset();
                 previous = 0;
                 continue;
@@ -53,7 +54,7 @@
         return frames;
     }
 
-    private void frame(byte[] octets, List<Frame> frames) {
+    private void addFrame(byte[] octets, List<Frame> frames) {
         parsed.clear();
         checkId(octets);
         broken |= !parser.accept(octets);
@@ -67,28 +68,28 @@
             if (!line.startsWith(ID_FIELD)) {
                 continue;
             }
-            long id = number(line.substring(ID_FIELD.length()).trim());
+            long id = parseId(line.substring(ID_FIELD.length()).trim());
             broken |= lastId != Long.MIN_VALUE && id <= lastId;
             lastId = id;
         }
     }
 
-    private long number(String text) {
+    private long parseId(String text) {
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException notANumber) {
-            // Ids that are no numbers cannot be checked; the stream passes as it is.
+            // Ids that are not numbers cannot be checked and are accepted.
             return lastId == Long.MIN_VALUE ? Long.MIN_VALUE : lastId + 1;
         }
     }
 
-    /** Whether an id came out of order or an event was too long. */
-    boolean broken() {
+    /** Whether an id was not higher than the previous one, or an event was too long. */
+    boolean isBroken() {
         return broken;
     }
 
-    /** Whether octets are left that end no event. */
-    boolean incomplete() {
+    /** Whether bytes of an incomplete event remain. */
+    boolean hasIncompleteEvent() {
         return pending.size() > 0;
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/FleetFollower.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/FleetFollower.java
@@ -23,20 +23,20 @@
 import org.quetzalshunt.wire.record.StoredRecords;
 
 /**
- * Sends this VM's heartbeats and reads those of its peers, and with them what else concerns the whole fleet: the secret of
- * the links between gateways, and reports of requests that crash endpoints. Heartbeats are appended without a condition, so
- * that their cost does not grow with the number of VMs.
+ * Sends this VM's heartbeats and reads those of its peers, together with the other fleet-wide records: the secret of
+ * the links between gateways, and reports of requests that crash endpoints. Heartbeats are appended unconditionally,
+ * so that their cost does not grow with the number of VMs.
  */
 final class FleetFollower {
-    /** Receives what was read of the fleet. */
+    /** Receives the records of the fleet. */
     interface Listener {
-        /** All heartbeats were read, or a lease that had lapsed is in force again. */
+        /** All heartbeats were read, or a lapsed lease is in force again. */
         void onFleetRead();
 
-        /** The secret of the links is known. */
+        /** The shared secret of the links was read. */
         void onSecret(byte[] secret);
 
-        /** A report of a crash, by its key. */
+        /** A record that reports a crash was read. */
         void onCrashReport(MapEntry entry);
     }
 
@@ -46,7 +46,7 @@
     private static final int SECRET_BYTES = 32;
 
     private final EventExecutor executor;
-    private final StoreClient map;
+    private final StoreClient store;
     private final NodeClock clock;
     private final DecisionLog log;
     private final Policy policy;
@@ -56,21 +56,21 @@
     private final BooleanSupplier settled;
     private Listener listener;
     private boolean secretSeen;
-    private boolean sending;
+    private boolean heartbeatPending;
     private boolean stopping;
     private boolean wasInForce;
     private long next = -1;
-    /** Counts the rounds; answers and timers of a former one are void. */
-    private int rounds;
+    /** Number of the current round of reads; responses and timers of earlier rounds are ignored. */
+    private int currentRound;
 
     /**
-     * Makes a follower that has read nothing.
+     * Creates a follower that has not read anything.
      *
-     * @param settled whether this VM holds the quota shares that it should own
+     * @param settled whether this VM holds all quota shares that it should own
      */
     FleetFollower(
             EventExecutor executor,
-            StoreClient map,
+            StoreClient store,
             NodeClock clock,
             DecisionLog log,
             GatewaySettings settings,
@@ -78,7 +78,7 @@
             VmLease lease,
             BooleanSupplier settled) {
         this.executor = executor;
-        this.map = map;
+        this.store = store;
         this.clock = clock;
         this.log = log;
         this.policy = settings.policy();
@@ -90,8 +90,8 @@
 
     void start(Listener fleetListener) {
         listener = fleetListener;
-        map.onRegained(this::round);
-        round();
+        store.onRecovered(this::startRound);
+        startRound();
     }
 
     /** Ends this VM's lease, so that its peers take over its shares at once. */
@@ -100,90 +100,90 @@
         append(List.of(entry(lease.lastHeartbeat())), OptionalLong.empty(), answer -> {});
     }
 
-    private void round() {
+    private void startRound() {
         if (stopping) {
             return;
         }
-        noteLease();
-        rounds++;
+        logLeaseChange();
+        currentRound++;
         if (next < 0) {
-            readWhole(rounds, "", -1);
+            readAll(currentRound, "", -1);
         } else {
-            readChanges(rounds);
+            readChanges(currentRound);
         }
     }
 
-    private void again(int round) {
-        if (round != rounds) {
+    private void scheduleNextRound(int round) {
+        if (round != currentRound) {
             return;
         }
-        boolean calm = lease.inForce(clock.now()) && settled.getAsBoolean();
-        boolean quick = policy.has(Mechanism.FAST_RENEWAL);
-        long pause = RenewalInterval.nextMillis(calm || !quick);
-        executor.schedule(() -> roundAfter(round), pause, TimeUnit.MILLISECONDS);
+        boolean leasedAndSettled = lease.inForce(clock.now()) && settled.getAsBoolean();
+        boolean fastRenewal = policy.has(Mechanism.FAST_RENEWAL);
+        long intervalMillis = RenewalInterval.nextMillis(leasedAndSettled || !fastRenewal);
+        executor.schedule(() -> startRoundIfCurrent(round), intervalMillis, TimeUnit.MILLISECONDS);
     }
 
-    private void roundAfter(int round) {
-        if (round == rounds) {
-            round();
+    private void startRoundIfCurrent(int round) {
+        if (round == currentRound) {
+            startRound();
         }
     }
 
-    private void readWhole(int round, String after, long firstEnd) {
-        map.range(SHARD, after, answer -> {
-            if (round != rounds) {
+    private void readAll(int round, String after, long firstEnd) {
+        store.range(SHARD, after, answer -> {
+            if (round != currentRound) {
                 return;
             }
             if (!(answer instanceof RangeAnswer.Page page)) {
-                again(round);
+                scheduleNextRound(round);
                 return;
             }
-            page.entries().forEach(this::take);
+            page.entries().forEach(this::apply);
             long end = firstEnd < 0 ? page.end() : firstEnd;
             if (page.more() && !page.entries().isEmpty()) {
-                readWhole(round, page.entries().get(page.entries().size() - 1).key(), end);
+                readAll(round, page.entries().get(page.entries().size() - 1).key(), end);
                 return;
             }
             peers.onSnapshot(clock.now());
-            // What changed since the first page is read from there.
+            // Pages are not a snapshot: later changes are read from the end offset of the first page.
             next = end;
             readChanges(round);
         });
     }
 
     private void readChanges(int round) {
-        long sent = clock.now();
-        map.changes(SHARD, next, 0, answer -> {
-            if (round != rounds) {
+        long sentMillis = clock.now();
+        store.changes(SHARD, next, 0, answer -> {
+            if (round != currentRound) {
                 return;
             }
             if (answer instanceof ChangesAnswer.Changes changes) {
-                changes.entries().forEach(this::take);
+                changes.entries().forEach(this::apply);
                 next = changes.next();
                 if (next < changes.end()) {
                     readChanges(round);
                 } else {
-                    readComplete(round, sent);
+                    readComplete(round, sentMillis);
                 }
                 return;
             }
             if (answer instanceof ChangesAnswer.Gone) {
                 next = -1;
             }
-            again(round);
+            scheduleNextRound(round);
         });
     }
 
     private void readComplete(int round, long sentMillis) {
         peers.onReadComplete(sentMillis);
         listener.onFleetRead();
-        if (!sending && lease.renewalDue(clock.now())) {
+        if (!heartbeatPending && lease.renewalDue(clock.now())) {
             sendHeartbeat();
         }
-        again(round);
+        scheduleNextRound(round);
     }
 
-    private void take(MapEntry entry) {
+    private void apply(MapEntry entry) {
         if (entry.key().equals(SECRET_KEY)) {
             entry.value().ifPresent(secret -> {
                 secretSeen = true;
@@ -200,23 +200,23 @@
     }
 
     private void sendHeartbeat() {
-        long sent = clock.now();
-        VmHeartbeat heartbeat = lease.nextHeartbeat(sent);
+        long sentMillis = clock.now();
+        VmHeartbeat heartbeat = lease.nextHeartbeat(sentMillis);
         List<MapEntry> entries = new ArrayList<>();
         entries.add(entry(heartbeat));
         if (!secretSeen) {
-            // The first gateway of all makes the secret; the condition leaves only one that does.
+            // The first gateway of the fleet creates the secret; the condition lets only one append succeed.
             entries.add(MapEntry.of(SECRET_KEY, newSecret()));
         }
         OptionalLong condition = secretSeen ? OptionalLong.empty() : OptionalLong.of(next);
-        sending = true;
+        heartbeatPending = true;
         append(entries, condition, answer -> {
-            sending = false;
+            heartbeatPending = false;
             if (answer instanceof AppendAnswer.Appended) {
-                onHeartbeatStored(sent, heartbeat);
+                onHeartbeatStored(sentMillis, heartbeat);
                 return;
             }
-            log.line(log.event("heartbeat-not-stored")
+            log.write(log.event("heartbeat-not-stored")
                     .put("epoch", heartbeat.epoch())
                     .put("answer", answer.toString()));
         });
@@ -224,15 +224,16 @@
 
     private void onHeartbeatStored(long sentMillis, VmHeartbeat heartbeat) {
         lease.renewed(clock.now(), sentMillis, heartbeat);
-        noteLease();
-        // A new process first reads who else is there: of many that start at once, none must claim everything.
+        logLeaseChange();
+        // A new process reads the heartbeats of its peers first, so that of many that start at once, none claims all
+        // quota shares.
         if (heartbeat.epoch() > VmLease.FIRST_EPOCH) {
             listener.onFleetRead();
         }
     }
 
     private void append(List<MapEntry> entries, OptionalLong condition, Consumer<AppendAnswer> answer) {
-        map.append(SHARD, entries, condition, answer);
+        store.append(SHARD, entries, condition, answer);
     }
 
     private MapEntry entry(VmHeartbeat heartbeat) {
@@ -245,14 +246,14 @@
         return secret;
     }
 
-    private void noteLease() {
+    private void logLeaseChange() {
         long now = clock.now();
         boolean inForce = lease.inForce(now);
         if (inForce == wasInForce) {
             return;
         }
         wasInForce = inForce;
-        log.line(log.event(inForce ? "lease-in-force" : "lease-lapsed")
+        log.write(log.event(inForce ? "lease-in-force" : "lease-lapsed")
                 .put("epoch", lease.term(now).epoch())
                 .put("members", peers.members().size() + 1));
     }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/Gateway.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/Gateway.java
@@ -7,13 +7,13 @@
 import org.quetzalshunt.core.routing.EndpointTable;
 import org.quetzalshunt.server.http.HttpClient;
 
-/** What the parts of one gateway share. All of it is used on one event loop. */
+/** The components of one gateway, all of which run on one event loop. */
 record Gateway(
         GatewaySettings settings,
         EventExecutor executor,
         NodeClock clock,
         DecisionLog log,
-        GatewayMetrics measures,
+        GatewayMetrics metrics,
         Dialect dialect,
         HttpClient http,
         EndpointTable endpoints,
@@ -23,48 +23,52 @@
         QuotaManager quotas,
         TurnHistory history,
         BudgetManager budgets,
-        StoreClient map,
+        StoreClient store,
         PeerConnections links,
         ChainExchange chains,
         CrashReporter crashes,
         RecoveryQueue recovery) {
-    /** For callers whom this VM cannot serve but another can: at once, since a retry reaches another VM. */
-    private static final long ELSEWHERE_MILLIS = 100;
+    /** Retry-After when another VM can serve the request: short, since a retry reaches another VM. */
+    private static final long OTHER_VM_RETRY_AFTER_MILLIS = 100;
 
-    /** The same for all callers alike, whatever time they have. */
-    private static final long NOWHERE_MILLIS = 900;
+    /**
+     * Retry-After in an outage while {@link Mechanism#OUTAGE_RETRY_DELAY} is off: the same for all callers, but at
+     * most a third of their remaining time.
+     */
+    private static final long BASIC_OUTAGE_RETRY_AFTER_MILLIS = 900;
 
-    private static final int LARGEST_PART_OF_LEFT = 3;
+    private static final int REMAINING_TIME_DIVISOR = 3;
 
-    /** When a caller should come back whom another VM may serve at once, in milliseconds. */
-    long retryAfterMillis(long leftMillis) {
-        return links.anyPeerReachesStore() && !map.unavailable()
-                ? ELSEWHERE_MILLIS
-                : outageRetryAfterMillis(leftMillis);
+    /** Retry-After for a request that another VM may be able to serve, in milliseconds. */
+    long retryAfterMillis(long remainingMillis) {
+        return links.anyPeerReachesStore() && !store.isUnavailable()
+                ? OTHER_VM_RETRY_AFTER_MILLIS
+                : outageRetryAfterMillis(remainingMillis);
     }
 
     /**
-     * When a caller should come back whose request failed for the shared map, in milliseconds. Where all VMs of the data
-     * centre have lost it, that is as in an outage for all: until the balancer has noticed and chooses another data centre,
-     * the next tries come to the same VMs.
+     * Retry-After for a request that failed because of the store, in milliseconds. If no VM of this data centre
+     * reaches the store, the delay for a full outage applies even if other data centres reach it: until the balancer
+     * has noticed and selects another data centre, retries arrive at the same VMs.
      */
-    long outageRetryAfterMillis(long leftMillis) {
+    long outageRetryAfterMillis(long remainingMillis) {
         if (isolatedFromStore() && links.anyLocalPeerReachesStore()) {
-            return ELSEWHERE_MILLIS;
+            return OTHER_VM_RETRY_AFTER_MILLIS;
         }
-        long wanted = settings.policy().has(Mechanism.OUTAGE_RETRY_DELAY)
+        long outageDelayMillis = settings.policy().has(Mechanism.OUTAGE_RETRY_DELAY)
                 ? OutageWaitPolicy.retryAfterMillis(
-                        leftMillis, ThreadLocalRandom.current().nextDouble())
-                : Math.min(NOWHERE_MILLIS, leftMillis / LARGEST_PART_OF_LEFT);
-        return Math.max(ELSEWHERE_MILLIS, wanted);
+                        remainingMillis, ThreadLocalRandom.current().nextDouble())
+                : Math.min(BASIC_OUTAGE_RETRY_AFTER_MILLIS, remainingMillis / REMAINING_TIME_DIVISOR);
+        return Math.max(OTHER_VM_RETRY_AFTER_MILLIS, outageDelayMillis);
     }
 
     /**
-     * Whether the store is unavailable to this VM but not to some peer, which callers should retry at. Guards against a
-     * partial outage in which this VM rejects every turn and stays in the balancer's rotation until its keys expire. A
-     * peer counts only if it reached the store after this VM had lost it, since an outage for all begins everywhere at once.
+     * Whether this VM has lost the store while some peer still reaches it, so that callers should retry at another VM.
+     * Guards against a partial outage in which this VM rejects every turn and stays in the balancer's rotation until
+     * its keys expire. Only a peer that reached the store after this VM lost it counts, since a full outage begins at
+     * all VMs at the same time.
      */
     boolean isolatedFromStore() {
-        return map.unavailable() && links.anyPeerReachedStoreSince(map.unavailableSinceMillis());
+        return store.isUnavailable() && links.anyPeerReachedStoreSince(store.unavailableSinceMillis());
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/GatewayDump.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/GatewayDump.java
@@ -5,13 +5,13 @@
 import org.quetzalshunt.core.route.TrafficConfiguration;
 import org.quetzalshunt.wire.json.Json;
 
-/** The state of a gateway for people, without keys and content. */
+/** Formats the state of a gateway as JSON for operators, without API keys and request content. */
 final class GatewayDump {
-    private static final int MOST_ENDPOINTS = 2_000;
+    private static final int MAXIMUM_ENDPOINTS = 2_000;
 
     private GatewayDump() {}
 
-    static String of(Gateway gateway, boolean stopping) {
+    static String toJson(Gateway gateway, boolean stopping) {
         ObjectNode dump = Json.object()
                 .put("vm", gateway.settings().vm())
                 .put("incarnation", gateway.settings().incarnation())
@@ -20,22 +20,22 @@
                 .put("registrationsAgeMillis", gateway.registrations().ageMillis())
                 .put("liveVms", gateway.quotas().liveVms())
                 .put("links", gateway.links().connectedVms().size())
-                .put("ratesLeased", gateway.quotas().leased());
+                .put("ratesLeased", gateway.quotas().isLeased());
         gateway.configuration().current().ifPresent(current -> addConfiguration(dump, current));
         ObjectNode evacuated = dump.putObject("evacuatedForMillis");
         gateway.evacuations().ageMillis().forEach(evacuated::put);
         ArrayNode endpoints = dump.putArray("endpoints");
         gateway.endpoints().ids().stream()
-                .limit(MOST_ENDPOINTS)
+                .limit(MAXIMUM_ENDPOINTS)
                 .flatMap(id -> gateway.endpoints().find(id).stream())
-                .forEach(each -> endpoints
+                .forEach(endpoint -> endpoints
                         .addObject()
-                        .put("id", each.id())
-                        .put("service", each.service())
-                        .put("address", each.address())
-                        .put("dataCentre", each.dataCentre())
-                        .put("leaving", each.leaving())
-                        .put("coldMillisWhenRead", each.coldMillis()));
+                        .put("id", endpoint.id())
+                        .put("service", endpoint.service())
+                        .put("address", endpoint.address())
+                        .put("dataCentre", endpoint.dataCentre())
+                        .put("leaving", endpoint.leaving())
+                        .put("coldMillisWhenRead", endpoint.coldMillis()));
         return dump.toString();
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/GatewayMetrics.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/GatewayMetrics.java
@@ -10,14 +10,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** What a gateway counts, in Prometheus' format. Labels are kinds of requests and numbered codes, both bounded. */
+/**
+ * Metrics of a gateway in the Prometheus format. All labels have a bounded number of values: request kinds, result
+ * codes and attempt outcomes.
+ */
 final class GatewayMetrics {
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
     private final Map<String, Map<Integer, Timer>> requests = new HashMap<>();
 
-    /** A request got its final answer. */
-    void ended(String kind, int code, long tookMillis) {
+    /** Records the time from the arrival of a request to its final response. */
+    void recordRequest(String kind, int code, long tookMillis) {
         requests.computeIfAbsent(kind, ignored -> new HashMap<>())
                 .computeIfAbsent(code, ignored -> requestTimer(kind, code))
                 .record(tookMillis, TimeUnit.MILLISECONDS);
@@ -34,17 +37,17 @@
                 .register(registry);
     }
 
-    /** The first event of a stream left for the caller. */
-    void firstEvent(long tookMillis) {
+    /** Records the time from the arrival of a request to the first event sent to the caller. */
+    void recordFirstEvent(long tookMillis) {
         registry.timer("quetzalshunt.first.event").record(tookMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** An attempt at an endpoint ended. */
-    void attempt(String outcome) {
+    /** Counts an attempt at an endpoint that has ended. */
+    void countAttempt(String outcome) {
         registry.counter("quetzalshunt.attempts", "outcome", outcome).increment();
     }
 
-    void gauge(String name, String description, Supplier<Number> value) {
+    void registerGauge(String name, String description, Supplier<Number> value) {
         Gauge.builder(name, value).description(description).register(registry);
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/GatewayProcess.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/GatewayProcess.java
@@ -18,20 +18,23 @@
 import org.quetzalshunt.server.http.HttpServer;
 import org.quetzalshunt.server.http.IpPort;
 
-/** One running gateway: its event loop, its two servers and its parts. */
+/** A running gateway with its event loop, its HTTP servers for callers and probes, and its components. */
 public final class GatewayProcess {
-    /** What a connection may carry before the configuration's own, lower bounds are known. */
+    /** HTTP limits that also apply before a configuration is read; the limits of the configuration are lower. */
     private static final HttpLimits CALLER_LIMITS = new HttpLimits(64 * 1024, 8 * 1024 * 1024, 15_000, 7_000);
 
     private static final HttpLimits PROBE_LIMITS = new HttpLimits(8 * 1024, 64 * 1024, 15_000, 100);
 
-    /** The balancer asks once a second and takes a VM out after two misses. */
-    private static final long BALANCER_MILLIS = 2_600;
+    /**
+     * Time until the balancer has removed a VM that is not ready: it probes once a second and removes a VM after two
+     * failed probes.
+     */
+    private static final long BALANCER_REMOVAL_MILLIS = 2_600;
 
-    /** Left of the stopping time for the last answers to leave. */
-    private static final long LAST_MILLIS = 700;
+    /** Part of the stop timeout that is reserved for sending the last responses. */
+    private static final long LAST_RESPONSES_MILLIS = 700;
 
-    private static final long CHECK_MILLIS = 100;
+    private static final long CHECK_INTERVAL_MILLIS = 100;
 
     private final GatewaySettings settings;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -41,7 +44,7 @@
     private HttpServer probes;
     private Gateway gateway;
     private FleetFollower fleet;
-    private AdmissionPipeline gate;
+    private AdmissionPipeline pipeline;
     private boolean stopping;
 
     private GatewayProcess(GatewaySettings settings) {
@@ -50,59 +53,62 @@
     }
 
     /**
-     * Starts a gateway; returns once it listens.
+     * Starts a gateway and returns once it accepts connections.
      *
-     * @param maps makes the client of the shared map on the gateway's HTTP client
+     * @param storeFactory creates the client of the store on the gateway's HTTP client
      */
     public static GatewayProcess start(
-            GatewaySettings settings, Dialect dialect, Function<HttpClient, SharedMap> maps) {
+            GatewaySettings settings, Dialect dialect, Function<HttpClient, SharedMap> storeFactory) {
         GatewayProcess process = new GatewayProcess(settings);
-        process.group.next().submit(() -> process.assemble(dialect, maps)).syncUninterruptibly();
+        process.group
+                .next()
+                .submit(() -> process.assemble(dialect, storeFactory))
+                .syncUninterruptibly();
         process.listen();
         return process;
     }
 
-    private void assemble(Dialect dialect, Function<HttpClient, SharedMap> maps) {
-        NodeClock clock = new NodeClock(this::clockJumped);
+    private void assemble(Dialect dialect, Function<HttpClient, SharedMap> storeFactory) {
+        NodeClock clock = new NodeClock(this::onClockJump);
         HttpClient http = HttpClient.create(group);
-        StoreClient map = new StoreClient(maps.apply(http), clock);
+        StoreClient store = new StoreClient(storeFactory.apply(http), clock);
         EndpointTable endpoints =
                 EndpointTable.create(settings.dataCentre(), settings.incarnation(), settings.policy());
-        GatewayMetrics measures = new GatewayMetrics();
+        GatewayMetrics metrics = new GatewayMetrics();
         Evacuations evacuations = new Evacuations(endpoints, clock, log);
         ConfigurationFollower configuration = new ConfigurationFollower(
-                group.next(), map, dialect, clock, log, evacuations, this::configurationChanged);
+                group.next(), store, dialect, clock, log, evacuations, this::onConfigurationChange);
         RegistrationFollower registrations =
-                new RegistrationFollower(group.next(), map, dialect, clock, log, endpoints);
+                new RegistrationFollower(group.next(), store, dialect, clock, log, endpoints);
         PeerTable peers = PeerTable.create(settings.vm());
         VmLease lease = VmLease.create(settings.incarnation(), IpPort.format(settings.links()));
-        QuotaManager quotas = new QuotaManager(map, clock, log, settings, configuration::current, peers, lease);
-        fleet = new FleetFollower(group.next(), map, clock, log, settings, peers, lease, quotas::settled);
+        QuotaManager quotas = new QuotaManager(store, clock, log, settings, configuration::current, peers, lease);
+        fleet = new FleetFollower(group.next(), store, clock, log, settings, peers, lease, quotas::isSettled);
         PeerConnections links = new PeerConnections(
                 group,
                 settings,
                 endpoints,
                 clock,
                 log,
-                quotas::reserveHere,
-                () -> map.unavailable() ? PeerConnections.STORE_UNAVAILABLE : configuration.ageMillis());
-        CrashReporter crashes = new CrashReporter(group.next(), http, map, clock, log, settings);
-        TurnHistory history = new TurnHistory(group.next(), map, clock, () -> gateway.isolatedFromStore());
+                quotas::reserveLocally,
+                () -> store.isUnavailable() ? PeerConnections.STORE_UNAVAILABLE : configuration.ageMillis());
+        CrashReporter crashes = new CrashReporter(group.next(), http, store, clock, log, settings);
+        TurnHistory history = new TurnHistory(group.next(), store, clock, () -> gateway.isolatedFromStore());
         BudgetManager budgets = new BudgetManager(
                 group.next(),
-                map,
+                store,
                 clock,
                 settings,
                 () -> gateway.isolatedFromStore(),
                 (program, allotted) -> gateway.chains().broadcastExhausted(program, allotted));
-        ChainExchange chains = new ChainExchange(group.next(), settings, map, history, budgets, links);
+        ChainExchange chains = new ChainExchange(group.next(), settings, store, history, budgets, links);
         links.setChains(chains);
         gateway = new Gateway(
                 settings,
                 group.next(),
                 clock,
                 log,
-                measures,
+                metrics,
                 dialect,
                 http,
                 endpoints,
@@ -112,14 +118,14 @@
                 quotas,
                 history,
                 budgets,
-                map,
+                store,
                 links,
                 chains,
                 crashes,
                 new RecoveryQueue(group.next(), clock));
-        gate = new AdmissionPipeline(gateway, () -> stopping);
-        gauges(measures);
-        log.line(log.event("start")
+        pipeline = new AdmissionPipeline(gateway, () -> stopping);
+        registerGauges(metrics);
+        log.write(log.event("start")
                 .put("incarnation", settings.incarnation())
                 .put("dataCentre", settings.dataCentre())
                 .put("policy", settings.policy().toString())
@@ -128,60 +134,62 @@
         registrations.start();
         quotas.start(links);
         fleet.start(new FleetEvents(quotas, links, crashes));
-        group.next().scheduleWithFixedDelay(clock::check, CHECK_MILLIS, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        group.next()
+                .scheduleWithFixedDelay(
+                        clock::detectJump, CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void gauges(GatewayMetrics measures) {
-        measures.gauge(
+    private void registerGauges(GatewayMetrics metrics) {
+        metrics.registerGauge(
                 "quetzalshunt.configuration.age.millis",
                 "age of the proof that the configuration is current",
                 () -> gateway.configuration().ageMillis());
-        measures.gauge(
+        metrics.registerGauge(
                 "quetzalshunt.registrations.age.millis",
                 "time since the endpoints' registrations were read",
                 () -> gateway.registrations().ageMillis());
-        measures.gauge("quetzalshunt.endpoints", "endpoints believed in", () -> gateway.endpoints()
+        metrics.registerGauge("quetzalshunt.endpoints", "endpoints believed in", () -> gateway.endpoints()
                 .ids()
                 .size());
-        measures.gauge(
+        metrics.registerGauge(
                 "quetzalshunt.evacuated.data.centres",
                 "data centres that operators evacuate",
                 () -> gateway.evacuations().ageMillis().size());
-        measures.gauge(
+        metrics.registerGauge(
                 "quetzalshunt.connections.opened",
                 "connections opened to endpoints and to the platform since the start",
                 () -> gateway.http().connectionsOpened());
-        measures.gauge("quetzalshunt.vms", "gateways believed to be live", () -> gateway.quotas()
+        metrics.registerGauge("quetzalshunt.vms", "gateways believed to be live", () -> gateway.quotas()
                 .liveVms());
     }
 
     private void listen() {
-        callers = HttpServer.start(group, settings.callers(), CALLER_LIMITS, gate::handle);
+        callers = HttpServer.start(group, settings.callers(), CALLER_LIMITS, pipeline::handle);
         probes = HttpServer.start(group, settings.probes(), PROBE_LIMITS, this::probe);
     }
 
-    private void configurationChanged(TrafficConfiguration configuration) {
+    private void onConfigurationChange(TrafficConfiguration configuration) {
         if (gateway != null) {
-            gateway.quotas().configurationChanged(configuration);
+            gateway.quotas().onConfigurationChange(configuration);
         }
     }
 
-    private void clockJumped() {
-        log.line(log.event("clock-jumped"));
-        gateway.configuration().lapse();
-        gateway.quotas().lapse();
+    private void onClockJump() {
+        log.write(log.event("clock-jumped"));
+        gateway.configuration().discardConfirmation();
+        gateway.quotas().endLease();
     }
 
     private void probe(HttpExchange exchange) {
         switch (exchange.path()) {
-            case "/readyz" -> ready(exchange);
-            case "/metrics" -> exchange.respondText(200, gateway.measures().scrape());
-            case "/dump" -> exchange.respondJson(200, GatewayDump.of(gateway, stopping));
+            case "/readyz" -> respondReady(exchange);
+            case "/metrics" -> exchange.respondText(200, gateway.metrics().scrape());
+            case "/dump" -> exchange.respondJson(200, GatewayDump.toJson(gateway, stopping));
             default -> exchange.respondText(404, "no such path\n");
         }
     }
 
-    private void ready(HttpExchange exchange) {
+    private void respondReady(HttpExchange exchange) {
         boolean ready = isReady();
         exchange.respondText(ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
     }
@@ -193,26 +201,26 @@
                 && gateway.configuration().ageMillis() < settings.keyAgeMillis()
                 && gateway.registrations().everRead()
                 && !gateway.endpoints().ids().isEmpty()
-                && gateway.quotas().leased()
+                && gateway.quotas().isLeased()
                 && gateway.quotas().reachesAllLeaseHolders();
     }
 
-    /** Port for callers in use, also when port 0 was asked for. */
+    /** Port on which callers are served; the assigned one if port 0 was configured. */
     public int callerPort() {
         return callers.port();
     }
 
-    /** Port for probes in use, also when port 0 was asked for. */
+    /** Port on which probes are served; the assigned one if port 0 was configured. */
     public int probePort() {
         return probes.port();
     }
 
-    /** Tells in the log what came of reading the settings file again. */
+    /** Logs the outcome of reading the settings file again. */
     public void reloaded(String outcome) {
-        log.line(log.event("reload").put("outcome", outcome));
+        log.write(log.event("reload").put("outcome", outcome));
     }
 
-    /** Ends at once, breaking every connection, as a crash would; nothing is given back. */
+    /** Stops at once and closes all connections, as a crash would; no lease is released. */
     public void kill() {
         callers.close();
         probes.close();
@@ -220,8 +228,8 @@
     }
 
     /**
-     * Graceful shutdown: reports "not ready" at once, serves what still comes until the balancer has noticed, closes
-     * idle connections, and ends when the last request has its answer or the time is up.
+     * Graceful shutdown: reports "not ready" at once, serves new requests until the balancer has removed this VM,
+     * closes idle connections, and ends when the last request has its response or the stop timeout has passed.
      */
     public CompletableFuture<Void> stop() {
         group.next().execute(() -> {
@@ -229,10 +237,10 @@
                 return;
             }
             stopping = true;
-            log.line(log.event("stop").put("connections", callers.connections()));
-            group.next().schedule(this::stopAccepting, BALANCER_MILLIS, TimeUnit.MILLISECONDS);
-            long last = Math.max(0, settings.stopMillis() - LAST_MILLIS);
-            group.next().schedule(this::end, last, TimeUnit.MILLISECONDS);
+            log.write(log.event("stop").put("connections", callers.connections()));
+            group.next().schedule(this::stopAccepting, BALANCER_REMOVAL_MILLIS, TimeUnit.MILLISECONDS);
+            long delayMillis = Math.max(0, settings.stopMillis() - LAST_RESPONSES_MILLIS);
+            group.next().schedule(this::complete, delayMillis, TimeUnit.MILLISECONDS);
         });
         return stopped;
     }
@@ -241,23 +249,23 @@
         callers.stopAccepting();
         callers.closeIdle();
         if (callers.connections() == 0) {
-            end();
+            complete();
             return;
         }
-        group.next().schedule(this::stopAccepting, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        group.next().schedule(this::stopAccepting, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void end() {
+    private void complete() {
         if (stopped.isDone()) {
             return;
         }
-        log.line(log.event("stopped").put("connections", callers.connections()));
+        log.write(log.event("stopped").put("connections", callers.connections()));
         gateway.quotas().stop();
         fleet.stop();
-        group.next().schedule(() -> stopped.complete(null), CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        group.next().schedule(() -> stopped.complete(null), CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Passes what was read of the fleet to the parts that it concerns. */
+    /** Passes the records of the fleet to the components that use them. */
     private record FleetEvents(QuotaManager quotas, PeerConnections links, CrashReporter crashes)
             implements FleetFollower.Listener {
         @Override
@@ -272,7 +280,7 @@
 
         @Override
         public void onCrashReport(MapEntry entry) {
-            crashes.heard(entry);
+            crashes.onCrashReport(entry);
         }
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/GatewaySettings.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/GatewaySettings.java
@@ -5,18 +5,19 @@
 import org.quetzalshunt.core.policy.Policy;
 
 /**
- * Settings of a gateway.
+ * Settings of a gateway process.
  *
  * @param vm name of this VM
- * @param incarnation life of this process, in Unix milliseconds
- * @param dataCentre where it is
+ * @param incarnation start time of this process, in Unix milliseconds, which identifies its incarnation
+ * @param dataCentre data centre of this VM
  * @param callers address for callers
  * @param probes address for the balancer's probes, metrics and the state dump
- * @param links address for other gateways
- * @param keyAgeMillis age at which what is known of keys no longer counts
- * @param stopMillis longest time of a planned stop
+ * @param links address for links from other gateways
+ * @param keyAgeMillis time since the last confirmation of the configuration after which its API keys are no longer
+ *     accepted
+ * @param stopMillis maximum duration of a planned stop
  * @param regions region of each data centre
- * @param policy rules of the decisions under load
+ * @param policy mechanisms that are enabled for decisions under load
  */
 public record GatewaySettings(
         String vm,
@@ -29,14 +30,14 @@
         long stopMillis,
         Map<String, String> regions,
         Policy policy) {
-    /** The same with another policy. */
+    /** A copy with another policy. */
     public GatewaySettings withPolicy(Policy other) {
         return new GatewaySettings(
                 vm, incarnation, dataCentre, callers, probes, links, keyAgeMillis, stopMillis, regions, other);
     }
 
-    /** Names this life of this VM in keys of the shared map; no other life has the same name. */
-    String life() {
+    /** Identifies this incarnation of the VM in keys of the store; no other incarnation has the same id. */
+    String incarnationId() {
         return vm + ":" + Long.toString(incarnation, Character.MAX_RADIX);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/GenerationMeter.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/GenerationMeter.java
@@ -1,33 +1,35 @@
 package org.quetzalshunt.server.gateway;
 
-/** Measures an endpoint by one streamed answer: prefill time, and time per token after it. */
+/** Measures the prefill time of an endpoint and its time per output token, by one streamed response. */
 final class GenerationMeter {
     private final Gateway gateway;
     private final int tokensPerEvent;
     private long events;
-    private long firstMillis;
+    private long firstEventMillis;
 
     GenerationMeter(Gateway gateway, int tokensPerEvent) {
         this.gateway = gateway;
         this.tokensPerEvent = tokensPerEvent;
     }
 
-    /** Events came in. */
-    void events(EndpointCall call, int count) {
+    /** Counts received events; the first event ends the prefill. */
+    void onEvents(EndpointCall call, int count) {
         if (events == 0 && count > 0) {
-            firstMillis = gateway.clock().now();
-            call.prefillDone();
-            call.choice().ifPresent(choice -> gateway.endpoints()
+            firstEventMillis = gateway.clock().now();
+            call.markPrefillDone();
+            call.selection().ifPresent(selection -> gateway.endpoints()
                     .onFirstEvent(
-                            choice.registration().id(), choice.uncachedTokens(), firstMillis - call.sentMillis()));
+                            selection.registration().id(),
+                            selection.uncachedTokens(),
+                            firstEventMillis - call.sentMillis()));
         }
         events += count;
     }
 
-    /** The answer came whole. */
-    void ended(EndpointCall call) {
+    /** Reports the generation time of a completed response. */
+    void onEnd(EndpointCall call) {
         long tokens = Math.max(0, events - 1) * tokensPerEvent;
-        long took = gateway.clock().now() - firstMillis;
-        call.endpoint().ifPresent(endpoint -> gateway.endpoints().generated(endpoint.id(), tokens, took));
+        long tookMillis = gateway.clock().now() - firstEventMillis;
+        call.endpoint().ifPresent(endpoint -> gateway.endpoints().generated(endpoint.id(), tokens, tookMillis));
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/LoadBroadcast.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/LoadBroadcast.java
@@ -19,24 +19,27 @@
 import org.quetzalshunt.wire.generated.PromptPlaced;
 
 /**
- * Tells peers what this VM runs at each endpoint, which endpoints fail its requests and which prompt prefixes it sent where.
- * The messages are the links' heartbeats as well.
+ * Sends peers the load of this VM at each endpoint, the failure rates that it sees there, and the endpoints to which
+ * it sent prompt prefixes. These messages are also the heartbeats of the links.
  */
 final class LoadBroadcast {
-    /** How often peers are looked through for those whose message is due. */
-    private static final long TICK_MILLIS = 50;
+    /** Interval at which peers are checked for a due message. */
+    private static final long CHECK_INTERVAL_MILLIS = 50;
 
-    /** Locations kept for a peer that does not keep up; the newest are worth most. */
-    private static final int MOST_LOCATIONS = 512;
+    /**
+     * Maximum number of prefix locations that are queued for a slow peer; the oldest are dropped, since the newest are
+     * the most useful.
+     */
+    private static final int MAXIMUM_LOCATIONS = 512;
 
-    private static final class Peer {
-        final ArrayDeque<PromptPlaced> placed = new ArrayDeque<>();
+    private static final class PeerState {
+        final ArrayDeque<PromptPlaced> pendingLocations = new ArrayDeque<>();
         long sentMillis = Long.MIN_VALUE / 2;
 
-        void add(List<PromptPlaced> locations) {
-            placed.addAll(locations);
-            while (placed.size() > MOST_LOCATIONS) {
-                placed.removeFirst();
+        void addLocations(List<PromptPlaced> locations) {
+            pendingLocations.addAll(locations);
+            while (pendingLocations.size() > MAXIMUM_LOCATIONS) {
+                pendingLocations.removeFirst();
             }
         }
     }
@@ -47,12 +50,12 @@
     private final EndpointTable endpoints;
     private final LongSupplier storeAgeMillis;
     private final Supplier<Collection<PeerLink>> links;
-    private final Map<String, Peer> peers = new HashMap<>();
+    private final Map<String, PeerState> peers = new HashMap<>();
 
     /**
-     * Makes a broadcast that has not begun.
+     * Creates a broadcast that is not started.
      *
-     * @param storeAgeMillis time since this VM reached the shared store
+     * @param storeAgeMillis time since this VM last reached the store
      * @param links one open link to each peer
      */
     LoadBroadcast(
@@ -71,24 +74,24 @@
     }
 
     void start() {
-        executor.scheduleWithFixedDelay(this::tick, 0, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        executor.scheduleWithFixedDelay(this::sendDueMessages, 0, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** A peer is gone. */
-    void removed(String vm) {
+    /** Discards the state of a peer that has no open link. */
+    void removePeer(String vm) {
         peers.remove(vm);
     }
 
-    private void tick() {
+    private void sendDueMessages() {
         Collection<PeerLink> open = links.get();
-        List<PromptPlaced> placed = newLocations();
-        int remote = (int) open.stream().filter(link -> !isLocal(link)).count();
+        List<PromptPlaced> newLocations = newLocations();
+        int remotePeers = (int) open.stream().filter(link -> !isLocal(link)).count();
         long now = clock.now();
         EndpointLoads loads = null;
         for (PeerLink link : open) {
-            Peer peer = peers.computeIfAbsent(link.remote().id().name(), ignored -> new Peer());
-            peer.add(placed);
-            boolean due = now - peer.sentMillis >= BroadcastInterval.millis(isLocal(link), remote);
+            PeerState peer = peers.computeIfAbsent(link.remote().id().name(), ignored -> new PeerState());
+            peer.addLocations(newLocations);
+            boolean due = now - peer.sentMillis >= BroadcastInterval.millis(isLocal(link), remotePeers);
             if (due && link.isWritable()) {
                 loads = loads == null ? loads(now) : loads;
                 send(now, link, peer, loads);
@@ -96,11 +99,11 @@
         }
     }
 
-    private static void send(long now, PeerLink link, Peer peer, EndpointLoads loads) {
+    private static void send(long now, PeerLink link, PeerState peer, EndpointLoads loads) {
         EndpointLoads message = new EndpointLoads(loads);
-        message.setPlaced(List.copyOf(peer.placed));
+        message.setPlaced(List.copyOf(peer.pendingLocations));
         link.send(Message.endpointLoads(message));
-        peer.placed.clear();
+        peer.pendingLocations.clear();
         peer.sentMillis = now;
     }
 
@@ -124,7 +127,7 @@
                 .toList();
     }
 
-    /** The locations of prefixes in a peer's message. */
+    /** Decodes the prefix locations of a peer's message. */
     static List<PrefixLocation> locations(EndpointLoads loads) {
         if (!loads.isSetPlaced()) {
             return List.of();
--- a/server/src/main/java/org/quetzalshunt/server/gateway/NodeClock.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/NodeClock.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Monotonic time, and the detection of pauses that it does not count.
+ * Monotonic and wall-clock time of this VM, with detection of pauses during which the monotonic clock stopped.
  *
- * <p>A suspended VM's monotonic clock stands still, its time of day does not. When the two part, leases and proofs of
- * freshness may have lapsed although the monotonic clock says otherwise. A stepped time of day looks the same and costs
- * a few reads.
+ * <p>While a VM is suspended, its monotonic clock stops but its wall clock does not. If the two diverge, leases and
+ * confirmations may have expired although the monotonic clock shows otherwise. A stepped wall clock looks the same and
+ * only costs a few extra reads of the store.
  */
 final class NodeClock {
-    /** Far above the jitter between two clock reads, far below any lease. */
+    /** Far above the jitter between two clock reads, and far below the duration of any lease. */
     private static final long TOLERANCE_MILLIS = 250;
 
     private final Runnable onJump;
@@ -20,18 +20,18 @@
         this.onJump = onJump;
     }
 
-    /** Milliseconds that only grow. */
+    /** Monotonic time in milliseconds. */
     long now() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    /** Time of day, in Unix milliseconds. */
-    long wall() {
+    /** Wall-clock time in Unix milliseconds. */
+    long wallMillis() {
         return System.currentTimeMillis();
     }
 
-    /** Runs the action if the clocks parted since the last check. */
-    void check() {
+    /** Runs the jump action if the clocks have diverged since the last call. */
+    void detectJump() {
         long offset = offset();
         if (Math.abs(offset - offsetMillis) <= TOLERANCE_MILLIS) {
             return;
--- a/server/src/main/java/org/quetzalshunt/server/gateway/OutboundTerms.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/OutboundTerms.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * What an endpoint is sent beside the caller's own headers.
+ * Values that an endpoint receives in headers in addition to those of the caller.
  *
- * @param endpoint id of the endpoint meant; another one at its address refuses
- * @param remainingMillis time that is left for the answer
- * @param account client account whose key came with the request
- * @param urgency 0 is the most urgent
+ * @param endpoint id of the intended endpoint; another endpoint at the same address refuses the request
+ * @param remainingMillis time left for the response
+ * @param account client account that the API key of the request belongs to
+ * @param urgency priority of the request; 0 is the most urgent
  */
 public record OutboundTerms(String endpoint, long remainingMillis, Optional<String> account, int urgency) {}
--- a/server/src/main/java/org/quetzalshunt/server/gateway/PeerConnections.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/PeerConnections.java
@@ -36,21 +36,25 @@
 import org.quetzalshunt.wire.generated.TokenRequest;
 
 /**
- * Links to the other gateways, for what is of use only at once: single tokens of an account's quota from the VMs that own
- * it, loads of endpoints, and locations of prompt prefixes. Nothing that lasts goes over them, and each gateway works on
- * without them, only less well.
+ * Links to the other gateways, for short-lived messages: requests for single tokens of an account's quota, loads of
+ * endpoints, locations of prompt prefixes, and exchange of turn histories and unspent budgets. No durable state
+ * depends on them, and a gateway also works without them, with lower performance.
  */
 final class PeerConnections implements LinkListener {
-    /** Ten round trips between data centres; an owner that takes longer is overloaded or gone. */
-    private static final long TOKEN_MILLIS = 25;
+    /**
+     * Timeout of a token request: ten round trips between data centres. An owner that takes longer is overloaded or
+     * gone.
+     */
+    private static final long TOKEN_TIMEOUT_MILLIS = 25;
 
     /**
-     * Reported in place of the time since the store was reached by a VM that finds it unavailable. Guards against an outage
-     * for all in which each VM sends its callers to the others, because their last contacts are still recent.
+     * Reported instead of the time since the last contact with the store by a VM that finds the store unavailable.
+     * Guards against a full outage in which each VM sends its callers to the others, because their last contacts are
+     * still recent.
      */
     static final long STORE_UNAVAILABLE = Long.MAX_VALUE;
 
-    /** On the wire: no token, or no wait after which there is one. */
+    /** Wait time on the wire when no token is granted. A negative shortest wait means that none becomes available. */
     private static final long NO_TOKEN = -1;
 
     private final EventLoopGroup group;
@@ -60,7 +64,7 @@
     private final NodeClock clock;
     private final DecisionLog log;
     private final BiFunction<String, Long, TokenOffer> grantToken;
-    /** Open links by peer, the newest first: two VMs that connect to each other at once have two. */
+    /** Open links by peer, newest first. A peer has two links when both VMs connect to each other at the same time. */
     private final Map<String, Deque<PeerLink>> links = new HashMap<>();
 
     private final Map<Long, Consumer<TokenOffer>> pendingTokens = new HashMap<>();
@@ -71,11 +75,11 @@
     private long nextId;
 
     /**
-     * Makes connections that wait for the shared secret.
+     * Creates connections that are not started before the shared secret is known.
      *
      * @param grantToken takes a token of an account from this VM's share, for a peer
-     * @param storeAgeMillis time since this VM reached the store, {@link #STORE_UNAVAILABLE} as soon as it finds the store
-     *     unavailable
+     * @param storeAgeMillis time since this VM last reached the store, or {@link #STORE_UNAVAILABLE} while it finds the
+     *     store unavailable
      */
     PeerConnections(
             EventLoopGroup group,
@@ -97,7 +101,7 @@
                 new LoadBroadcast(executor, clock, settings.dataCentre(), endpoints, storeAgeMillis, this::openLinks);
     }
 
-    /** Sets the receiver of messages about turns; before the start. */
+    /** Sets the receiver of messages about turns and budgets; must be called before the start. */
     void setChains(ChainExchange exchange) {
         chains = exchange;
     }
@@ -115,17 +119,20 @@
         broadcast.start();
     }
 
-    /** Sets the members of the fleet. Of two VMs, the one that started later connects, since it knows the other first. */
+    /**
+     * Sets the members of the fleet. Of two VMs, the one that started later connects, since it is the first to know of
+     * the other.
+     */
     void setPeers(Map<String, VmHeartbeat> members) {
         if (connector == null) {
             return;
         }
         Set<InetSocketAddress> addresses = new HashSet<>();
         members.forEach((vm, heartbeat) -> {
-            boolean later = settings.incarnation() != heartbeat.incarnation()
+            boolean startedLater = settings.incarnation() != heartbeat.incarnation()
                     ? settings.incarnation() > heartbeat.incarnation()
                     : settings.vm().compareTo(vm) > 0;
-            if (later) {
+            if (startedLater) {
                 IpPort.parse(heartbeat.linkAddress()).ifPresent(addresses::add);
             }
         });
@@ -157,7 +164,7 @@
         link(vm).ifPresent(link -> link.send(message));
     }
 
-    /** Asks a peer for a token; one that does not answer has none. */
+    /** Requests a token from a peer. A missing link or answer counts as no token. */
     void requestToken(String vm, String account, long maximumWaitMillis, Consumer<TokenOffer> listener) {
         Optional<PeerLink> link = link(vm);
         if (link.isEmpty()) {
@@ -167,22 +174,22 @@
         long id = nextId++;
         pendingTokens.put(id, listener);
         link.get().send(Message.tokenRequest(new TokenRequest(id, account, maximumWaitMillis)));
-        executor.schedule(() -> answered(id, TokenOffer.NONE), TOKEN_MILLIS, TimeUnit.MILLISECONDS);
+        executor.schedule(() -> completeTokenRequest(id, TokenOffer.NONE), TOKEN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void answered(long id, TokenOffer offer) {
+    private void completeTokenRequest(long id, TokenOffer offer) {
         Consumer<TokenOffer> listener = pendingTokens.remove(id);
         if (listener != null) {
             listener.accept(offer);
         }
     }
 
-    private static TokenOffer offer(TokenAnswer answer) {
+    private static TokenOffer toOffer(TokenAnswer answer) {
         if (answer.getWaitMillis() >= 0) {
             return TokenOffer.taken(answer.getWaitMillis());
         }
-        boolean later = answer.isSetShortestMillis() && answer.getShortestMillis() >= 0;
-        return later ? TokenOffer.unavailableFor(answer.getShortestMillis()) : TokenOffer.NONE;
+        boolean availableLater = answer.isSetShortestMillis() && answer.getShortestMillis() >= 0;
+        return availableLater ? TokenOffer.unavailableFor(answer.getShortestMillis()) : TokenOffer.NONE;
     }
 
     private void grantToken(PeerLink link, TokenRequest request) {
@@ -201,7 +208,7 @@
     public void onOpen(PeerLink link) {
         links.computeIfAbsent(link.remote().id().name(), ignored -> new ArrayDeque<>())
                 .addFirst(link);
-        log.line(log.event("link-open").put("peer", link.remote().id().toString()));
+        log.write(log.event("link-open").put("peer", link.remote().id().toString()));
     }
 
     @Override
@@ -209,7 +216,7 @@
         if (message.isSetTokenRequest()) {
             grantToken(link, message.getTokenRequest());
         } else if (message.isSetTokenAnswer()) {
-            answered(message.getTokenAnswer().getId(), offer(message.getTokenAnswer()));
+            completeTokenRequest(message.getTokenAnswer().getId(), toOffer(message.getTokenAnswer()));
         } else if (message.isSetTurnLocation()) {
             chains.onLocation(link.remote().id().name(), message.getTurnLocation());
         } else if (message.isSetChainRequest()) {
@@ -233,22 +240,25 @@
             endpoints.onPeerPrefillBacklog(vm, loads.getUnread());
         }
         endpoints.onPeerPrefixes(LoadBroadcast.locations(loads));
-        storeContacts.reported(vm, peer.dataCentre(), loads.getProofAgeMillis());
+        storeContacts.onReport(vm, peer.dataCentre(), loads.getProofAgeMillis());
     }
 
-    /** Whether some peer reached the store lately. */
+    /** Whether some peer reached the store recently. */
     boolean anyPeerReachesStore() {
-        return storeContacts.any();
+        return storeContacts.anyRecent();
     }
 
-    /** Whether some peer reached the store after a moment on this VM's clock. */
+    /** Whether some peer reached the store recently and after a given time on this VM's clock. */
     boolean anyPeerReachedStoreSince(long sinceMillis) {
-        return storeContacts.anySince(sinceMillis);
+        return storeContacts.anyRecentSince(sinceMillis);
     }
 
-    /** Whether such a peer is in this data centre, so that a caller's retry may reach it. */
+    /**
+     * Whether some peer in this VM's data centre reached the store recently, so that a caller's retry may arrive at
+     * it.
+     */
     boolean anyLocalPeerReachesStore() {
-        return storeContacts.anyIn(settings.dataCentre());
+        return storeContacts.anyRecentIn(settings.dataCentre());
     }
 
     @Override
@@ -258,9 +268,9 @@
         if (open != null && open.remove(link) && open.isEmpty()) {
             links.remove(vm);
             endpoints.removePeer(vm);
-            storeContacts.removed(vm);
-            broadcast.removed(vm);
+            storeContacts.removePeer(vm);
+            broadcast.removePeer(vm);
         }
-        log.line(log.event("link-closed").put("peer", link.remote().id().toString()));
+        log.write(log.event("link-closed").put("peer", link.remote().id().toString()));
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/QuotaManager.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/QuotaManager.java
@@ -15,7 +15,8 @@
 import org.quetzalshunt.core.route.TrafficConfiguration;
 
 /**
- * Takes tokens of accounts' quotas: from this VM's own shares, or over a link from the VMs that own the account.
+ * Takes tokens of accounts' rate quotas, from the shares of this VM or over links from other VMs that hold a share of
+ * the account.
  */
 final class QuotaManager {
     private final NodeClock clock;
@@ -29,7 +30,7 @@
     private boolean stopping;
 
     QuotaManager(
-            StoreClient map,
+            StoreClient store,
             NodeClock clock,
             DecisionLog log,
             GatewaySettings settings,
@@ -42,23 +43,23 @@
         this.configuration = configuration;
         this.peers = peers;
         this.lease = lease;
-        this.leases = QuotaLeases.create(self, clock::now, peers, lease, new QuotaShareStore(map), this::logShare);
+        this.leases = QuotaLeases.create(self, clock::now, peers, lease, new QuotaShareStore(store), this::logShare);
     }
 
     private void logShare(String account, int parts) {
-        log.line(log.event("quota-share")
+        log.write(log.event("quota-share")
                 .put("account", account)
                 .put("parts", parts)
                 .put("epoch", lease.term(clock.now()).epoch())
                 .put("members", peers.members().size() + 1));
     }
 
-    /** Begins to ask peers. */
+    /** Sets the links over which tokens are requested from peers. */
     void start(PeerConnections peerConnections) {
         links = peerConnections;
     }
 
-    /** The members of the fleet were read anew: shares and links follow. */
+    /** Adapts the quota shares and the links to the members of the fleet, after these were read. */
     void onFleetRead() {
         if (stopping) {
             return;
@@ -67,8 +68,8 @@
         links.setPeers(peers.members());
     }
 
-    /** Quotas changed. */
-    void configurationChanged(TrafficConfiguration current) {
+    /** Applies the quotas of a new configuration. */
+    void onConfigurationChange(TrafficConfiguration current) {
         Map<String, QuotaTerms> quotas = new HashMap<>();
         current.accounts().values().stream()
                 .filter(AccountTerms::limited)
@@ -81,9 +82,9 @@
     /**
      * Takes a token of an account's quota.
      *
-     * @param maximumWaitMillis longest time for which the request may wait for a token that is still to be earned
+     * @param maximumWaitMillis maximum time for which the request may wait for a token that is not available yet
      */
-    void take(AccountTerms account, long maximumWaitMillis, Consumer<TokenSearch.Result> listener) {
+    void takeToken(AccountTerms account, long maximumWaitMillis, Consumer<TokenSearch.Result> listener) {
         if (!account.limited()) {
             listener.accept(new TokenSearch.Result.Granted(0));
             return;
@@ -91,30 +92,32 @@
         TokenSearch.start(
                 leases.candidates(account.name()),
                 maximumWaitMillis,
-                (holder, most, answer) -> ask(holder, account.name(), most, answer),
+                (holder, maximumWait, answer) -> requestToken(holder, account.name(), maximumWait, answer),
                 listener);
     }
 
-    private void ask(String holder, String account, long maximumWaitMillis, Consumer<TokenOffer> answer) {
+    private void requestToken(String holder, String account, long maximumWaitMillis, Consumer<TokenOffer> answer) {
         if (holder.equals(self)) {
-            answer.accept(reserveHere(account, maximumWaitMillis));
+            answer.accept(reserveLocally(account, maximumWaitMillis));
             return;
         }
         links.requestToken(holder, account, maximumWaitMillis, answer);
     }
 
-    /** Takes a token from this VM's share, for itself or for a peer, that may still have to be earned. */
-    TokenOffer reserveHere(String account, long maximumWaitMillis) {
+    /**
+     * Takes a token from this VM's share for itself or for a peer. The token may become available only after a wait.
+     */
+    TokenOffer reserveLocally(String account, long maximumWaitMillis) {
         return stopping ? TokenOffer.NONE : leases.reserve(account, maximumWaitMillis);
     }
 
     /** Whether this VM's lease on its shares is in force. */
-    boolean leased() {
+    boolean isLeased() {
         return lease.inForce(clock.now());
     }
 
     /** Whether this VM holds all shares that it should own. */
-    boolean settled() {
+    boolean isSettled() {
         return leases.settled();
     }
 
@@ -124,7 +127,7 @@
                 .anyMatch(holder -> holder.equals(self) ? leases.parts(account) > 0 : links.isConnected(holder));
     }
 
-    /** Whether that is so for every account. */
+    /** Whether, for every account with a quota, some VM that may hold a share can be asked. */
     boolean reachesAllLeaseHolders() {
         return configuration
                 .get()
@@ -135,17 +138,17 @@
                 .isPresent();
     }
 
-    /** VMs that serve, this one included. */
+    /** Number of live VMs, including this one. */
     int liveVms() {
         return peers.members().size() + 1;
     }
 
-    /** The lease no longer counts, after a pause of unknown length. */
-    void lapse() {
+    /** Ends the lease, after a pause of the process of unknown length. */
+    void endLease() {
         lease.lapse();
     }
 
-    /** Gives out no more tokens. */
+    /** Stops granting tokens from this VM's shares. */
     void stop() {
         stopping = true;
     }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/QuotaShareStore.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/QuotaShareStore.java
@@ -14,20 +14,20 @@
 import org.quetzalshunt.core.store.RangeAnswer;
 import org.quetzalshunt.wire.record.StoredRecords;
 
-/** Quota shares as records of the shared map, with the key "account/VM". */
+/** Reads and writes quota shares as records of the store, with the key "account/VM". */
 final class QuotaShareStore implements ShareStore {
     private static final char SEPARATOR = '/';
 
-    private final StoreClient map;
+    private final StoreClient store;
 
-    QuotaShareStore(StoreClient map) {
-        this.map = map;
+    QuotaShareStore(StoreClient store) {
+        this.store = store;
     }
 
     @Override
     public void read(String account, Consumer<Optional<Page>> listener) {
         String prefix = account + SEPARATOR;
-        map.range(Shards.ofQuota(account), prefix, answer -> {
+        store.range(Shards.ofQuota(account), prefix, answer -> {
             if (!(answer instanceof RangeAnswer.Page page)) {
                 listener.accept(Optional.empty());
                 return;
@@ -52,11 +52,11 @@
             Consumer<WriteResult> listener) {
         List<MapEntry> entries = new ArrayList<>();
         changes.forEach((vm, share) -> entries.add(entry(account + SEPARATOR + vm, share)));
-        map.append(
+        store.append(
                 Shards.ofQuota(account),
                 entries,
                 OptionalLong.of(expectedEnd),
-                answer -> listener.accept(result(answer)));
+                answer -> listener.accept(toWriteResult(answer)));
     }
 
     private static MapEntry entry(String key, Optional<QuotaShare> share) {
@@ -64,7 +64,7 @@
                 .orElseGet(() -> MapEntry.removal(key));
     }
 
-    private static WriteResult result(AppendAnswer answer) {
+    private static WriteResult toWriteResult(AppendAnswer answer) {
         if (answer instanceof AppendAnswer.Appended) {
             return WriteResult.WRITTEN;
         }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/RecoveryQueue.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/RecoveryQueue.java
@@ -8,69 +8,75 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Requests that wait for something this VM lacks at the moment: the shared map, a proof that its configuration is
- * current, a link to a holder of a rate. Each goes on as soon as that is there, those of programs under way first, and is
- * refused when its wait is over.
+ * Queue of requests that wait for a temporarily missing dependency: the store, a confirmation that the configuration
+ * is current, or a link to a holder of a quota share. A request is resumed when its dependency is available or when
+ * its wait time is over. Of the requests that are resumed together, those that continue a program come first.
  */
 final class RecoveryQueue {
     /**
-     * A request that waits.
+     * A queued request.
      *
-     * @param mayBegin whether it may begin a program
-     * @param untilMillis when its wait is over
-     * @param ready whether what it waits for is there
-     * @param resume goes on with it, also when the wait is over
+     * @param mayBeginProgram whether it may be the first turn of a program
+     * @param untilMillis when its wait time is over
+     * @param ready whether its dependency is available
+     * @param resume continues the request, also when its wait time is over
      */
-    record Waiting(boolean mayBegin, long untilMillis, BooleanSupplier ready, Runnable resume) {}
+    record WaitingRequest(boolean mayBeginProgram, long untilMillis, BooleanSupplier ready, Runnable resume) {}
 
-    /** Well below what a caller notices. */
+    /** Interval of the checks; well below what a caller notices. */
     private static final long CHECK_MILLIS = 20;
 
-    /** Each holds a connection and its body: a few MB in all. More are refused at once. */
-    private static final int MOST_WAITING = 400;
+    /**
+     * Maximum number of queued requests. Each keeps a connection and a request body, a few MB in all; more requests
+     * are refused at once.
+     */
+    private static final int MAXIMUM_WAITING = 400;
 
     private final EventExecutor executor;
     private final NodeClock clock;
-    private final List<Waiting> waiting = new ArrayList<>();
-    private boolean checking;
+    private final List<WaitingRequest> waiting = new ArrayList<>();
+    private boolean checkScheduled;
 
     RecoveryQueue(EventExecutor executor, NodeClock clock) {
         this.executor = executor;
         this.clock = clock;
     }
 
-    /** Takes a request in, unless there is no room. */
-    boolean offer(Waiting request) {
-        if (waiting.size() >= MOST_WAITING) {
+    /** Queues a request; returns false if the queue is full. */
+    boolean offer(WaitingRequest request) {
+        if (waiting.size() >= MAXIMUM_WAITING) {
             return false;
         }
         waiting.add(request);
-        checkLater();
+        scheduleCheck();
         return true;
     }
 
-    /** One check at a time: a request that goes on may be offered again, and would start a second series of checks. */
-    private void checkLater() {
-        if (checking || waiting.isEmpty()) {
+    /**
+     * Schedules the next check unless one is scheduled already: a resumed request may be queued again during a check,
+     * which must not start a second series of checks.
+     */
+    private void scheduleCheck() {
+        if (checkScheduled || waiting.isEmpty()) {
             return;
         }
-        checking = true;
-        executor.schedule(this::check, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        checkScheduled = true;
+        executor.schedule(this::resumeDue, CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void check() {
-        checking = false;
+    private void resumeDue() {
+        checkScheduled = false;
         long now = clock.now();
-        List<Waiting> due = new ArrayList<>();
-        waiting.removeIf(each -> {
-            boolean ends = each.ready().getAsBoolean() || now >= each.untilMillis();
-            if (ends) {
-                due.add(each);
+        List<WaitingRequest> due = new ArrayList<>();
+        waiting.removeIf(request -> {
+            boolean isDue = request.ready().getAsBoolean() || now >= request.untilMillis();
+            if (isDue) {
+                due.add(request);
             }
-            return ends;
+            return isDue;
         });
-        due.sort(Comparator.comparing(Waiting::mayBegin));
-        due.forEach(each -> each.resume().run());
-        checkLater();
+        due.sort(Comparator.comparing(WaitingRequest::mayBeginProgram));
+        due.forEach(request -> request.resume().run());
+        scheduleCheck();
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/RegistrationFollower.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/RegistrationFollower.java
@@ -17,58 +17,67 @@
 import org.quetzalshunt.core.store.RangeAnswer;
 
 /**
- * Follows the endpoints' registrations at a fixed interval: each endpoint writes about once a second, so a long poll
- * would answer at once every time.
+ * Reads the registrations of endpoints at a fixed interval. Long polls would return at once every time, since each
+ * endpoint writes about once a second.
  *
- * <p>While the store is unavailable, registrations lapse although their endpoints live, and come back within two seconds of its
- * return. Removals read in that time are therefore carried out at its end, and only if the endpoint did not come back.
+ * <p>While the store is unavailable, registrations expire although their endpoints are alive; the endpoints register
+ * again within two seconds of its recovery. Removals that are read in this time are therefore applied only at its end,
+ * and only if the endpoint has not registered again.
  */
 final class RegistrationFollower {
     private static final MapShard SHARD = MapShard.only(MapName.REGISTRATIONS);
 
-    /** A quarter of the shortest time in which a leaving endpoint must be left alone (two seconds). */
+    /**
+     * A quarter of the shortest time within which a VM must stop sending requests to a leaving endpoint (two seconds).
+     */
     private static final long INTERVAL_MILLIS = 500;
 
-    /** Three polls without an answer: the store was unavailable, and registrations may have lapsed. */
-    private static final long AWAY_MILLIS = 1_600;
+    /**
+     * Time without a response, about three polls, after which the store was unavailable and registrations may have
+     * expired.
+     */
+    private static final long OUTAGE_MILLIS = 1_600;
 
-    /** Two seconds, as the platform promises, and a little for the way. */
-    private static final long RETURN_MILLIS = 2_200;
+    /**
+     * Time after an outage in which removals are deferred: the two seconds within which the platform promises new
+     * registrations, plus network latency.
+     */
+    private static final long REREGISTRATION_MILLIS = 2_200;
 
     private final EventExecutor executor;
-    private final StoreClient map;
+    private final StoreClient store;
     private final Dialect dialect;
     private final NodeClock clock;
     private final DecisionLog log;
-    private final Dependency dependency;
+    private final DependencyMonitor dependency;
     private final EndpointTable endpoints;
     private long next = -1;
     private long readMillis;
-    private long returnUntilMillis = Long.MIN_VALUE / 2;
+    private long deferRemovalsUntilMillis = Long.MIN_VALUE / 2;
     private boolean everRead;
 
     RegistrationFollower(
             EventExecutor executor,
-            StoreClient map,
+            StoreClient store,
             Dialect dialect,
             NodeClock clock,
             DecisionLog log,
             EndpointTable endpoints) {
         this.executor = executor;
-        this.map = map;
+        this.store = store;
         this.dialect = dialect;
         this.clock = clock;
         this.log = log;
-        this.dependency = new Dependency(log, "registrations");
+        this.dependency = new DependencyMonitor(log, "registrations");
         this.endpoints = endpoints;
     }
 
-    /** Whether the registrations were ever read whole. */
+    /** Whether all registrations were read at least once. */
     boolean everRead() {
         return everRead;
     }
 
-    /** Time since they were last read, in milliseconds. */
+    /** Time since the registrations were last read, in milliseconds. */
     long ageMillis() {
         return clock.now() - readMillis;
     }
@@ -76,79 +85,79 @@
     void start() {
         endpoints.sweep(clock.now());
         if (next < 0) {
-            readWhole("", new HashSet<>());
+            readAll("", new HashSet<>());
         } else {
             poll();
         }
     }
 
-    private void again(long delayMillis) {
+    private void scheduleNextRead(long delayMillis) {
         executor.schedule(this::start, delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    private void readWhole(String after, Set<String> listed) {
-        map.range(SHARD, after, answer -> {
+    private void readAll(String after, Set<String> listed) {
+        store.range(SHARD, after, answer -> {
             if (!(answer instanceof RangeAnswer.Page page)) {
-                lost(((RangeAnswer.Unavailable) answer).reason());
+                onUnavailable(((RangeAnswer.Unavailable) answer).reason());
                 return;
             }
-            noteRead();
+            onRead();
             for (MapEntry entry : page.entries()) {
                 listed.add(entry.key());
-                take(entry);
+                apply(entry);
             }
-            // Pages are no snapshot: what changed since the first page is read again from there.
+            // Pages are not a snapshot: later changes are read from the end offset of the first page.
             next = next < 0 ? page.end() : next;
             if (page.more() && !page.entries().isEmpty()) {
-                readWhole(page.entries().get(page.entries().size() - 1).key(), listed);
+                readAll(page.entries().get(page.entries().size() - 1).key(), listed);
                 return;
             }
             endpoints.ids().stream().filter(id -> !listed.contains(id)).forEach(this::remove);
             everRead = true;
-            again(INTERVAL_MILLIS);
+            scheduleNextRead(INTERVAL_MILLIS);
         });
     }
 
     private void poll() {
-        map.changes(SHARD, next, 0, answer -> {
+        store.changes(SHARD, next, 0, answer -> {
             if (answer instanceof ChangesAnswer.Changes changes) {
-                noteRead();
-                latest(changes.entries()).forEach(this::take);
+                onRead();
+                latest(changes.entries()).forEach(this::apply);
                 next = changes.next();
-                again(changes.next() < changes.end() ? 0 : INTERVAL_MILLIS);
+                scheduleNextRead(changes.next() < changes.end() ? 0 : INTERVAL_MILLIS);
                 return;
             }
             if (answer instanceof ChangesAnswer.Gone) {
                 next = -1;
-                readWhole("", new HashSet<>());
+                readAll("", new HashSet<>());
                 return;
             }
-            lost(((ChangesAnswer.Unavailable) answer).reason());
+            onUnavailable(((ChangesAnswer.Unavailable) answer).reason());
         });
     }
 
-    /** Leaves out records that a later one of the same key replaces. */
+    /** Drops records that a later one with the same key replaces. */
     private static List<MapEntry> latest(List<MapEntry> entries) {
         Map<String, MapEntry> byKey = new LinkedHashMap<>();
         entries.forEach(entry -> byKey.put(entry.key(), entry));
         return List.copyOf(byKey.values());
     }
 
-    private void noteRead() {
+    private void onRead() {
         long now = clock.now();
-        if (everRead && now - readMillis > AWAY_MILLIS) {
-            returnUntilMillis = now + RETURN_MILLIS;
+        if (everRead && now - readMillis > OUTAGE_MILLIS) {
+            deferRemovalsUntilMillis = now + REREGISTRATION_MILLIS;
         }
         readMillis = now;
         dependency.answered();
     }
 
-    private void lost(String reason) {
+    private void onUnavailable(String reason) {
         dependency.failed(reason);
-        again(INTERVAL_MILLIS);
+        scheduleNextRead(INTERVAL_MILLIS);
     }
 
-    private void take(MapEntry entry) {
+    private void apply(MapEntry entry) {
         if (entry.value().isEmpty()) {
             remove(entry.key());
             return;
@@ -159,22 +168,22 @@
             remove(entry.key());
             return;
         }
-        logChange(registration.get());
+        logIfChanged(registration.get());
         endpoints.registered(clock.now(), registration.get());
     }
 
-    private void logChange(Registration registration) {
-        Optional<Registration> before = endpoints.find(registration.id());
-        if (before.filter(registration::sameAs).isPresent()) {
+    private void logIfChanged(Registration registration) {
+        Optional<Registration> previous = endpoints.find(registration.id());
+        if (previous.filter(registration::sameAs).isPresent()) {
             return;
         }
-        log.line(log.event("endpoint")
+        log.write(log.event("endpoint")
                 .put("id", registration.id())
                 .put("service", registration.service())
                 .put("address", registration.address())
                 .put("leaving", registration.leaving())
                 .put("coldMillis", registration.coldMillis())
-                .put("restarted", before.isPresent() && before.get().bornMillis() != registration.bornMillis()));
+                .put("restarted", previous.isPresent() && previous.get().bornMillis() != registration.bornMillis()));
     }
 
     private void remove(String id) {
@@ -182,10 +191,10 @@
             return;
         }
         long now = clock.now();
-        boolean held = now < returnUntilMillis;
-        log.line(log.event("endpoint-gone").put("id", id).put("held", held));
-        if (held) {
-            endpoints.removedAt(id, returnUntilMillis);
+        boolean deferred = now < deferRemovalsUntilMillis;
+        log.write(log.event("endpoint-gone").put("id", id).put("held", deferred));
+        if (deferred) {
+            endpoints.removedAt(id, deferRemovalsUntilMillis);
         } else {
             endpoints.removed(id);
         }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/RequestTimeline.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/RequestTimeline.java
@@ -4,9 +4,12 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** When the steps of a request's life ended, in milliseconds since it had arrived whole; for its log line. */
+/**
+ * Times at which a request completed its processing steps, in milliseconds since it was fully received; written to its
+ * log line.
+ */
 final class RequestTimeline {
-    /** Steps in the order of a request's path; a step that was not reached is left out of the line. */
+    /** Steps in processing order; a step that was not reached is left out of the log line. */
     enum Step {
         TOKEN("tokenAfterMillis"),
         HISTORY("historyAfterMillis"),
@@ -31,23 +34,23 @@
         this.arrivedMillis = arrivedMillis;
     }
 
-    /** A step has ended; the first time counts. */
-    void reached(Step step) {
+    /** Records the end of a step; only the first call for a step counts. */
+    void markReached(Step step) {
         afterMillis.putIfAbsent(step, clock.now() - arrivedMillis);
     }
 
-    /** Events of the answer were passed to the caller. */
-    void passedEvents() {
+    /** Records that events of the response were sent to the caller. */
+    void markEventsSent() {
         long now = clock.now() - arrivedMillis;
-        reached(Step.FIRST_EVENT);
-        Long before = afterMillis.put(Step.LAST_EVENT, now);
-        if (before != null) {
-            longestPauseMillis = Math.max(longestPauseMillis, now - before);
+        markReached(Step.FIRST_EVENT);
+        Long previous = afterMillis.put(Step.LAST_EVENT, now);
+        if (previous != null) {
+            longestPauseMillis = Math.max(longestPauseMillis, now - previous);
         }
     }
 
-    /** Adds the steps that were reached. */
-    void describe(ObjectNode line) {
+    /** Adds the completed steps to a log line. */
+    void addTo(ObjectNode line) {
         afterMillis.forEach((step, millis) -> line.put(step.field, millis));
         if (longestPauseMillis > 0) {
             line.put("longestPauseMillis", longestPauseMillis);
--- a/server/src/main/java/org/quetzalshunt/server/gateway/ResponseKind.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/ResponseKind.java
@@ -2,14 +2,14 @@
 
 /** Kind of an endpoint's response, by its status and headers. */
 public enum ResponseKind {
-    /** A success that is signed by the endpoint. */
+    /** A success that the endpoint signed. */
     SUCCESS,
-    /** A failure of the endpoint's own; the request ran or may have run. */
+    /** A failure that the endpoint reported; the request ran or may have run. */
     FAILURE,
-    /** The request did not run there, because the endpoint is full or leaving. */
+    /** The endpoint did not run the request, because it is full or leaving. */
     NOT_RUN_FULL,
-    /** The request did not run there, because another endpoint has the address. */
+    /** The request did not run, because another endpoint has this address. */
     NOT_RUN_MOVED,
-    /** No answer in the protocol; the request may have run. */
+    /** The response violates the protocol; the request may have run. */
     INVALID
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/Outcome.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/ResultReporter.java
@@ -9,16 +9,16 @@
 import org.quetzalshunt.server.http.ErrorBodies;
 import org.quetzalshunt.server.http.HttpExchange;
 
-/** Gives callers their final answers, and writes the one log line of each request. */
-final class Outcome {
-    private Outcome() {}
+/** Sends final error responses to callers, and writes the one log line of each request. */
+final class ResultReporter {
+    private ResultReporter() {}
 
-    /** Refuses a request before it was judged whole. */
+    /** Refuses a request that was not admitted. */
     static void refuse(Gateway gateway, HttpExchange exchange, String requestId, Refusal refusal) {
         send(gateway, exchange, requestId, refusal);
-        gateway.measures().ended("none", refusal.code().number(), 0);
+        gateway.metrics().recordRequest("none", refusal.code().number(), 0);
         gateway.log()
-                .line(gateway.log()
+                .write(gateway.log()
                         .event("refused")
                         .put("request", requestId)
                         .put("code", refusal.code().number())
@@ -26,13 +26,13 @@
                         .put("configurationAgeMillis", gateway.configuration().ageMillis()));
     }
 
-    /** Rejects a request that was admitted, or reports that its outcome is unknown. */
+    /** Refuses an admitted request, or reports that its outcome is unknown. */
     static void refuse(Gateway gateway, AdmittedRequest admitted, Refusal refusal, Optional<EndpointCall> call) {
         send(gateway, admitted.exchange(), admitted.request().id(), refusal);
-        String comeBack = refusal.retryAfterMillis().isPresent()
+        String retryText = refusal.retryAfterMillis().isPresent()
                 ? ", retry after " + refusal.retryAfterMillis().getAsLong() + " ms"
                 : "";
-        log(gateway, admitted, refusal.code(), refusal.detail() + comeBack, call);
+        logResult(gateway, admitted, refusal.code(), refusal.detail() + retryText, call);
     }
 
     private static void send(Gateway gateway, HttpExchange exchange, String requestId, Refusal refusal) {
@@ -41,38 +41,41 @@
         exchange.respond(refusal.code().status(), headers, body);
     }
 
-    /** Writes the line of a request that got its final answer. */
-    static void log(
+    /** Records the metrics and writes the log line of a request that got its final response. */
+    static void logResult(
             Gateway gateway, AdmittedRequest admitted, ResultCode code, String detail, Optional<EndpointCall> call) {
         long now = gateway.clock().now();
-        long took = now - admitted.arrivedMillis();
-        gateway.measures().ended(admitted.route().kind().name(), code.number(), took);
+        long tookMillis = now - admitted.arrivedMillis();
+        gateway.metrics().recordRequest(admitted.route().kind().name(), code.number(), tookMillis);
         ObjectNode line = gateway.log()
                 .event("request")
                 .put("request", admitted.request().id())
                 .put("route", admitted.route().name())
                 .put("account", admitted.accountName())
                 .put("code", code.number())
-                .put("tookMillis", took)
+                .put("tookMillis", tookMillis)
                 .put("targetMillis", admitted.route().targetLatencyMillis())
                 .put("leftMillis", admitted.deadlineMillis() - now)
                 .put("configuration", admitted.configurationVersion())
                 .put("configurationAgeMillis", gateway.configuration().ageMillis())
                 .put("registrationsAgeMillis", gateway.registrations().ageMillis());
         admitted.request().program().ifPresent(program -> line.put("program", program));
-        admitted.request().programLeftMillis().ifPresent(left -> line.put("programLeftMillis", left - took));
-        admitted.timeline().describe(line);
+        admitted.request().programLeftMillis().ifPresent(left -> line.put("programLeftMillis", left - tookMillis));
+        admitted.timeline().addTo(line);
         admitted.request().previousTurn().ifPresent(turn -> line.put("previousTurn", turn));
-        call.ifPresent(each -> {
-            line.put("sends", each.sends());
-            each.firstSentMillis().ifPresent(sent -> line.put("sentAfterMillis", sent - admitted.arrivedMillis()));
-            each.endpoint().map(Registration::id).ifPresent(id -> line.put("endpoint", id));
-            each.choice().ifPresent(choice -> line.put("expectedMillis", Math.round(choice.expectedMillis()))
-                    .put("uncachedTokens", choice.uncachedTokens()));
+        call.ifPresent(endpointCall -> {
+            line.put("sends", endpointCall.attemptCount());
+            endpointCall
+                    .firstSentMillis()
+                    .ifPresent(sent -> line.put("sentAfterMillis", sent - admitted.arrivedMillis()));
+            endpointCall.endpoint().map(Registration::id).ifPresent(id -> line.put("endpoint", id));
+            endpointCall.selection().ifPresent(selection -> line.put(
+                            "expectedMillis", Math.round(selection.expectedMillis()))
+                    .put("uncachedTokens", selection.uncachedTokens()));
         });
         if (!detail.isEmpty()) {
             line.put("detail", detail);
         }
-        gateway.log().line(line);
+        gateway.log().write(line);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/StoreClient.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/StoreClient.java
@@ -13,26 +13,33 @@
 import org.quetzalshunt.core.store.SharedMap;
 
 /**
- * The gateway's one way to the shared map: gives each call its time limit by how the map answered lately, and knows
- * whether the store is unavailable, so that work that cannot be stored is rejected before it runs.
+ * Client through which all components of the gateway access the store. It adapts the timeout of each call to recent
+ * response times, and detects that the store is unavailable, so that work that cannot be stored is rejected before it
+ * runs.
  */
 final class StoreClient {
-    /** Fewer failures in a row may be lost answers; an unavailable store fails calls of every kind. */
-    private static final int AWAY_FAILURES = 3;
+    /**
+     * Consecutive failures after which the store counts as unavailable. Fewer may be single lost responses; an
+     * unavailable store fails calls of every kind.
+     */
+    private static final int UNAVAILABLE_FAILURES = 3;
 
-    /** A store that rejects a part of its calls does so for seconds. */
-    private static final long FAILING_MILLIS = 500;
+    /**
+     * Time for which a failure counts after it was followed by a success: a store that rejects part of its calls does
+     * so for seconds.
+     */
+    private static final long FAILING_PERIOD_MILLIS = 500;
 
     /**
-     * Timeout of a read while the store is unavailable. A read that was sent into a silent outage delays what waits for it
-     * by its whole timeout after the store's return.
+     * Timeout of a read while the store is unavailable. A read that was sent during an outage without responses delays
+     * everything that waits for it by its whole timeout, even after the store has recovered.
      */
-    private static final long PROBE_MILLIS = 400;
+    private static final long UNAVAILABLE_READ_TIMEOUT_MILLIS = 400;
 
     private final SharedMap map;
     private final NodeClock clock;
-    private final List<Runnable> onRegained = new ArrayList<>();
-    private final ResponseTimeout limit = ResponseTimeout.create();
+    private final List<Runnable> onRecovered = new ArrayList<>();
+    private final ResponseTimeout timeout = ResponseTimeout.create();
     private int failures;
     private long lastFailureMillis = Long.MIN_VALUE / 2;
     private long failedSinceMillis;
@@ -42,70 +49,74 @@
         this.clock = clock;
     }
 
-    /** Runs an action whenever the store answers again after it was unavailable. */
-    void onRegained(Runnable action) {
-        onRegained.add(action);
+    /** Registers an action that runs whenever the store answers again after it was unavailable. */
+    void onRecovered(Runnable action) {
+        onRecovered.add(action);
     }
 
-    /** Whether the store answered none of the last calls. */
-    boolean unavailable() {
-        return failures >= AWAY_FAILURES;
+    /** Whether the store failed to answer the last calls, so that it counts as unavailable. */
+    boolean isUnavailable() {
+        return failures >= UNAVAILABLE_FAILURES;
     }
 
-    /** Whether the last call was not answered: the store may be unavailable or reject some calls. */
-    boolean failing() {
-        return failures > 0 || clock.now() - lastFailureMillis < FAILING_MILLIS;
+    /**
+     * Whether the last call, or a call shortly before, was not answered: the store may be unavailable or reject some
+     * calls.
+     */
+    boolean isFailing() {
+        return failures > 0 || clock.now() - lastFailureMillis < FAILING_PERIOD_MILLIS;
     }
 
-    /** When the first of those calls was sent, while the store is unavailable. */
+    /** When the first of the unanswered calls was sent; valid while the store is unavailable. */
     long unavailableSinceMillis() {
         return failedSinceMillis;
     }
 
     void range(MapShard shard, String after, Consumer<RangeAnswer> listener) {
-        long sent = clock.now();
-        map.range(shard, after, readLimitMillis(), answer -> {
-            note(sent, 0, answer instanceof RangeAnswer.Page);
+        long sentMillis = clock.now();
+        map.range(shard, after, readTimeoutMillis(), answer -> {
+            recordCall(sentMillis, 0, answer instanceof RangeAnswer.Page);
             listener.accept(answer);
         });
     }
 
     void append(MapShard shard, List<MapEntry> entries, OptionalLong expectedEnd, Consumer<AppendAnswer> listener) {
-        long sent = clock.now();
-        map.append(shard, entries, expectedEnd, limit.millis(), answer -> {
-            note(sent, 0, answer instanceof AppendAnswer.Appended || answer instanceof AppendAnswer.Conflict);
+        long sentMillis = clock.now();
+        map.append(shard, entries, expectedEnd, timeout.millis(), answer -> {
+            recordCall(
+                    sentMillis, 0, answer instanceof AppendAnswer.Appended || answer instanceof AppendAnswer.Conflict);
             listener.accept(answer);
         });
     }
 
     void changes(MapShard shard, long from, long waitMillis, Consumer<ChangesAnswer> listener) {
-        long sent = clock.now();
-        map.changes(shard, from, waitMillis, readLimitMillis(), answer -> {
-            note(sent, waitMillis, !(answer instanceof ChangesAnswer.Unavailable));
+        long sentMillis = clock.now();
+        map.changes(shard, from, waitMillis, readTimeoutMillis(), answer -> {
+            recordCall(sentMillis, waitMillis, !(answer instanceof ChangesAnswer.Unavailable));
             listener.accept(answer);
         });
     }
 
-    private long readLimitMillis() {
-        return unavailable() ? Math.min(PROBE_MILLIS, limit.millis()) : limit.millis();
+    private long readTimeoutMillis() {
+        return isUnavailable() ? Math.min(UNAVAILABLE_READ_TIMEOUT_MILLIS, timeout.millis()) : timeout.millis();
     }
 
-    private void note(long sentMillis, long waitMillis, boolean answered) {
+    private void recordCall(long sentMillis, long waitMillis, boolean answered) {
         if (!answered) {
             failedSinceMillis = failures == 0 ? sentMillis : failedSinceMillis;
             failures++;
             lastFailureMillis = clock.now();
-            limit.unanswered();
+            timeout.unanswered();
             return;
         }
-        boolean regained = unavailable();
+        boolean recovered = isUnavailable();
         failures = 0;
-        // The latency of a long poll is no measure of the store's.
+        // The duration of a long poll does not measure the latency of the store.
         if (waitMillis == 0) {
-            limit.answered(clock.now() - sentMillis);
+            timeout.answered(clock.now() - sentMillis);
         }
-        if (regained) {
-            onRegained.forEach(Runnable::run);
+        if (recovered) {
+            onRecovered.forEach(Runnable::run);
         }
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/StoreContacts.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/StoreContacts.java
@@ -3,10 +3,13 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** When each peer last reached the shared store, as it reported over its link. */
+/** The last time at which each peer reached the store, as reported over its link. */
 final class StoreContacts {
-    /** Contacts are renewed every second or two; one that is older was missed. */
-    private static final long RECENT_MILLIS = 2_600;
+    /**
+     * Maximum age of a contact that counts as recent. A peer renews its contact every one or two seconds, so an older
+     * one shows that it missed a renewal.
+     */
+    private static final long MAXIMUM_AGE_MILLIS = 2_600;
 
     private record Contact(String dataCentre, long atMillis) {}
 
@@ -17,35 +20,35 @@
         this.clock = clock;
     }
 
-    /** A peer reported how long ago it reached the store. */
-    void reported(String vm, String dataCentre, long ageMillis) {
-        if (ageMillis < RECENT_MILLIS) {
+    /** Records how long ago a peer reached the store. */
+    void onReport(String vm, String dataCentre, long ageMillis) {
+        if (ageMillis < MAXIMUM_AGE_MILLIS) {
             contacts.put(vm, new Contact(dataCentre, clock.now() - ageMillis));
         } else {
             contacts.remove(vm);
         }
     }
 
-    /** A peer is gone. */
-    void removed(String vm) {
+    /** Discards the contact of a peer that has no open link. */
+    void removePeer(String vm) {
         contacts.remove(vm);
     }
 
-    /** Whether some peer reached the store lately, and after a moment on this VM's clock. */
-    boolean anySince(long sinceMillis) {
-        long recent = Math.max(sinceMillis, clock.now() - RECENT_MILLIS);
-        return contacts.values().stream().anyMatch(contact -> contact.atMillis() >= recent);
+    /** Whether some peer reached the store recently and after a given time on this VM's clock. */
+    boolean anyRecentSince(long sinceMillis) {
+        long earliestMillis = Math.max(sinceMillis, clock.now() - MAXIMUM_AGE_MILLIS);
+        return contacts.values().stream().anyMatch(contact -> contact.atMillis() >= earliestMillis);
     }
 
-    /** Whether some peer reached the store lately. */
-    boolean any() {
-        return anySince(Long.MIN_VALUE);
+    /** Whether some peer reached the store recently. */
+    boolean anyRecent() {
+        return anyRecentSince(Long.MIN_VALUE);
     }
 
-    /** Whether some peer of a data centre reached the store lately. */
-    boolean anyIn(String dataCentre) {
-        long recent = clock.now() - RECENT_MILLIS;
+    /** Whether some peer in a data centre reached the store recently. */
+    boolean anyRecentIn(String dataCentre) {
+        long earliestMillis = clock.now() - MAXIMUM_AGE_MILLIS;
         return contacts.values().stream()
-                .anyMatch(contact -> contact.dataCentre().equals(dataCentre) && contact.atMillis() >= recent);
+                .anyMatch(contact -> contact.dataCentre().equals(dataCentre) && contact.atMillis() >= earliestMillis);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/StreamForwarder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/StreamForwarder.java
@@ -15,54 +15,57 @@
 import org.quetzalshunt.core.turn.TurnRecord;
 
 /**
- * A request whose answer is a stream of events; a turn of a program, where its route keeps history.
+ * Forwards a request whose response is a stream of events; on a route that stores history, this is a turn of a
+ * program.
  *
- * <p>A turn is sent once its history is read and its tokens are granted, except where the budget is plainly large enough: then its
- * grant is asked for while the endpoint reads the prompt, and events wait for it. Events then pass as they come. The end of the
- * answer passes only once the turn is kept: a caller that saw the end can go on from it at any VM, whatever happens.
+ * <p>A turn is sent to an endpoint after its history is read and its tokens are granted. If the budget has enough
+ * headroom, the turn is sent before the grant: the grant is requested while the endpoint processes the prompt, and
+ * events are buffered until it is there. After that, events are forwarded as they arrive. The end of the response is
+ * sent only after the turn is stored, so that a caller that received the end can continue from this turn at any VM.
  */
 final class StreamForwarder implements EndpointCall.Listener {
     private final Gateway gateway;
     private final AdmittedRequest admitted;
     private final TurnGrant grant;
-    private final GenerationMeter pace;
-    private final EventFrames frames = EventFrames.create();
+    private final GenerationMeter meter;
+    private final EventStreamDecoder decoder = EventStreamDecoder.create();
     private final ByteArrayOutputStream output = new ByteArrayOutputStream();
     private final ByteArrayOutputStream failureBody = new ByteArrayOutputStream();
-    private final List<byte[]> held = new ArrayList<>();
+    private final List<byte[]> bufferedEvents = new ArrayList<>();
     private List<TurnRecord> chain = List.of();
     private EndpointCall call;
     private ScheduledFuture<?> deadline;
     private ResponseKind head;
     private int status;
     private HttpHeaders headers;
-    private boolean ahead;
-    private boolean chainKnown;
+    private boolean sendsBeforeGrant;
+    private boolean chainComplete;
     private boolean answerEnded;
-    private boolean keeping;
+    private boolean storing;
     private boolean finished;
-    private long events;
+    private long sentEvents;
 
     private StreamForwarder(Gateway gateway, AdmittedRequest admitted) {
         this.gateway = gateway;
         this.admitted = admitted;
         this.grant = new TurnGrant(gateway, admitted);
-        this.pace = new GenerationMeter(gateway, admitted.tokensPerEvent());
+        this.meter = new GenerationMeter(gateway, admitted.tokensPerEvent());
     }
 
-    /** Starts a run; it ends by itself. */
+    /** Starts to forward a request; the caller always gets a final response or a closed connection. */
     static void start(Gateway gateway, AdmittedRequest admitted) {
-        StreamForwarder run = new StreamForwarder(gateway, admitted);
-        admitted.exchange().onClose(run::callerLeft);
-        long left = Math.max(1, admitted.deadlineMillis() - gateway.clock().now());
-        run.deadline = gateway.executor().schedule(run::deadlinePassed, left, TimeUnit.MILLISECONDS);
-        run.begin();
+        StreamForwarder forwarder = new StreamForwarder(gateway, admitted);
+        admitted.exchange().onClose(forwarder::onCallerDisconnected);
+        long remainingMillis =
+                Math.max(1, admitted.deadlineMillis() - gateway.clock().now());
+        forwarder.deadline = gateway.executor().schedule(forwarder::onDeadline, remainingMillis, TimeUnit.MILLISECONDS);
+        forwarder.begin();
     }
 
     private void begin() {
         if (admitted.beginsChain()) {
-            chainKnown = true;
-            askGrant();
+            chainComplete = true;
+            requestGrant();
             return;
         }
         gateway.chains().fetch(admitted, this::onFetched);
@@ -72,67 +75,68 @@
         if (finished) {
             return;
         }
-        findChain();
-        askGrant();
+        loadChain();
+        requestGrant();
     }
 
-    private void askGrant() {
-        ahead = grant.hasHeadroom();
+    private void requestGrant() {
+        sendsBeforeGrant = grant.hasHeadroom();
         dispatchWhenReady();
-        grant.ask(this::decided);
+        grant.request(this::onVerdict);
     }
 
-    private void findChain() {
+    private void loadChain() {
         String previous = admitted.request().previousTurn().orElseThrow();
-        gateway.history().find(previous, admitted.accountName(), admitted.outageWaitUntilMillis(), this::chainFound);
+        gateway.history().find(previous, admitted.accountName(), admitted.outageWaitUntilMillis(), this::onChain);
     }
 
-    private void chainFound(TurnHistory.Chain answer) {
+    private void onChain(TurnHistory.Chain answer) {
         if (finished) {
             return;
         }
         if (answer instanceof TurnHistory.Chain.Found found) {
             chain = found.turns();
-            chainKnown = true;
-            admitted.timeline().reached(RequestTimeline.Step.HISTORY);
+            chainComplete = true;
+            admitted.timeline().markReached(RequestTimeline.Step.HISTORY);
             dispatchWhenReady();
             return;
         }
         if (answer instanceof TurnHistory.Chain.Missing) {
-            end(Refusal.notRun(ResultCode.UNKNOWN_PROGRAM, "no such turn"));
+            fail(Refusal.notRun(ResultCode.UNKNOWN_PROGRAM, "no such turn"));
             return;
         }
         String reason = ((TurnHistory.Chain.Unavailable) answer).reason();
-        end(Refusal.notRunRetryAfter(
+        fail(Refusal.notRunRetryAfter(
                 ResultCode.LOG_UNAVAILABLE,
                 "history: " + reason,
                 gateway.outageRetryAfterMillis(
                         admitted.deadlineMillis() - gateway.clock().now())));
     }
 
-    private void decided(BudgetManager.Verdict verdict) {
+    private void onVerdict(BudgetManager.Verdict verdict) {
         if (finished) {
             return;
         }
         if (verdict instanceof BudgetManager.Verdict.Granted) {
-            admitted.timeline().reached(RequestTimeline.Step.GRANT);
+            admitted.timeline().markReached(RequestTimeline.Step.GRANT);
             dispatchWhenReady();
-            pass();
+            forwardEvents();
             return;
         }
-        Refusal refusal = refusal(verdict);
+        Refusal refusal = toRefusal(verdict);
         if (call == null) {
-            end(refusal);
+            fail(refusal);
             return;
         }
-        // The endpoint may have run it by now, and then neither "spent" nor "not run" would be true.
+        // The endpoint may have run the turn already, so that neither "budget exhausted" nor "not run" would be a true
+        // result.
         call.cancel(AttemptOutcome.NEUTRAL);
-        end(Refusal.after(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, refusal.detail()));
+        fail(Refusal.after(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, refusal.detail()));
     }
 
-    private Refusal refusal(BudgetManager.Verdict verdict) {
-        if (verdict instanceof BudgetManager.Verdict.Exhausted spent) {
-            return exhaustedRefusal(spent);
+    private Refusal toRefusal(BudgetManager.Verdict verdict) {
+        if (verdict instanceof BudgetManager.Verdict.Exhausted exhausted) {
+            return exhaustedRefusal(exhausted);
         }
         String reason = ((BudgetManager.Verdict.Unavailable) verdict).reason();
         return Refusal.notRunRetryAfter(
@@ -142,15 +146,15 @@
                         admitted.deadlineMillis() - gateway.clock().now()));
     }
 
-    /** The answer to a caller whose budget is exhausted. */
-    static Refusal exhaustedRefusal(BudgetManager.Verdict.Exhausted spent) {
+    /** The refusal of a turn whose budget is exhausted. */
+    static Refusal exhaustedRefusal(BudgetManager.Verdict.Exhausted exhausted) {
         return Refusal.notRun(
                 ResultCode.BUDGET_EXHAUSTED,
-                "allotted " + spent.allotted() + " here, " + spent.others() + " elsewhere");
+                "tokens allotted: " + exhausted.allotted() + " to this VM, " + exhausted.others() + " to other VMs");
     }
 
     private void dispatchWhenReady() {
-        if (chainKnown && (ahead || grant.granted()) && call == null && !finished) {
+        if (chainComplete && (sendsBeforeGrant || grant.granted()) && call == null && !finished) {
             dispatch();
         }
     }
@@ -177,37 +181,37 @@
             failureBody.writeBytes(data);
             return;
         }
-        List<EventFrames.Frame> whole = frames.accept(data);
-        pace.events(call, whole.size());
-        for (EventFrames.Frame frame : whole) {
-            held.add(frame.octets());
+        List<EventStreamDecoder.Frame> completeEvents = decoder.decode(data);
+        meter.onEvents(call, completeEvents.size());
+        for (EventStreamDecoder.Frame frame : completeEvents) {
+            bufferedEvents.add(frame.octets());
             output.writeBytes(frame.data());
             output.write('\n');
         }
-        if (frames.broken()) {
+        if (decoder.isBroken()) {
             call.cancel(AttemptOutcome.FAILED);
             onBroken("events out of order");
             return;
         }
-        pass();
+        forwardEvents();
     }
 
-    private void pass() {
+    private void forwardEvents() {
         if (!grant.granted() || finished || headers == null || head != ResponseKind.SUCCESS) {
             return;
         }
-        if (!held.isEmpty()) {
+        if (!bufferedEvents.isEmpty()) {
             if (!admitted.exchange().started()) {
                 admitted.exchange().begin(status, gateway.dialect().inbound(headers));
-                gateway.measures().firstEvent(gateway.clock().now() - admitted.arrivedMillis());
+                gateway.metrics().recordFirstEvent(gateway.clock().now() - admitted.arrivedMillis());
             }
-            held.forEach(admitted.exchange()::write);
-            admitted.timeline().passedEvents();
-            events += held.size();
-            held.clear();
+            bufferedEvents.forEach(admitted.exchange()::write);
+            admitted.timeline().markEventsSent();
+            sentEvents += bufferedEvents.size();
+            bufferedEvents.clear();
         }
         if (answerEnded) {
-            keepAndEnd();
+            storeAndEnd();
         }
     }
 
@@ -217,35 +221,35 @@
             return;
         }
         if (head == ResponseKind.FAILURE) {
-            passFailure();
+            forwardFailure();
             return;
         }
-        if (frames.incomplete()) {
+        if (decoder.hasIncompleteEvent()) {
             onBroken("the answer ended inside an event");
             return;
         }
         answerEnded = true;
-        pace.ended(call);
-        pass();
+        meter.onEnd(call);
+        forwardEvents();
     }
 
-    private void passFailure() {
-        finish();
+    private void forwardFailure() {
+        markFinished();
         admitted.exchange().respond(status, gateway.dialect().inbound(headers), failureBody.toByteArray());
-        Outcome.log(gateway, admitted, ResultCode.ENDPOINT_FAILED, "status " + status, Optional.of(call));
+        ResultReporter.logResult(gateway, admitted, ResultCode.ENDPOINT_FAILED, "status " + status, Optional.of(call));
     }
 
-    private void keepAndEnd() {
-        if (keeping) {
+    private void storeAndEnd() {
+        if (storing) {
             return;
         }
-        keeping = true;
+        storing = true;
         String id = admitted.request().id();
         if (!admitted.keepsHistory()) {
-            kept(true);
+            onStored(true);
             return;
         }
-        gateway.history().keep(record(id), () -> !finished, this::kept);
+        gateway.history().save(record(id), () -> !finished, this::onStored);
     }
 
     private TurnRecord record(String id) {
@@ -255,7 +259,7 @@
             ancestors.addAll(last.ancestors());
             ancestors.add(last.id());
         }
-        long expires = gateway.clock().wall() + admitted.recordRetentionMillis();
+        long expires = gateway.clock().wallMillis() + admitted.recordRetentionMillis();
         return new TurnRecord(
                 id,
                 admitted.accountName(),
@@ -265,71 +269,72 @@
                 expires);
     }
 
-    private void kept(boolean kept) {
-        if (kept && admitted.keepsHistory()) {
+    private void onStored(boolean stored) {
+        if (stored && admitted.keepsHistory()) {
             gateway.chains().onTurnStored(admitted.request().id());
         }
-        if (finished || !kept) {
+        if (finished || !stored) {
             return;
         }
-        finish();
+        markFinished();
         if (!admitted.exchange().started()) {
             admitted.exchange().begin(status, gateway.dialect().inbound(headers));
         }
         admitted.exchange().end();
-        Outcome.log(gateway, admitted, ResultCode.OK, events + " events", Optional.of(call));
+        ResultReporter.logResult(gateway, admitted, ResultCode.OK, sentEvents + " events", Optional.of(call));
     }
 
     @Override
     public void onBroken(String reason) {
-        end(Refusal.after(ResultCode.ANSWER_CUT, Execution.UNKNOWN, reason));
+        fail(Refusal.after(ResultCode.ANSWER_CUT, Execution.UNKNOWN, reason));
     }
 
     @Override
     public void onRefused(Refusal refusal) {
-        end(refusal);
+        fail(refusal);
     }
 
-    private void deadlinePassed() {
-        boolean ran = (call != null && call.running()) || answerEnded;
+    private void onDeadline() {
+        boolean mayHaveRun = (call != null && call.isRunning()) || answerEnded;
         if (call != null) {
             call.cancel(AttemptOutcome.ofLate(headers != null));
         }
-        end(
-                ran
-                        ? Refusal.after(ResultCode.DEADLINE_PASSED_RUNNING, Execution.UNKNOWN, late())
+        fail(
+                mayHaveRun
+                        ? Refusal.after(ResultCode.DEADLINE_PASSED_RUNNING, Execution.UNKNOWN, lateDetail())
                         : Refusal.notRun(ResultCode.DEADLINE_UNREACHABLE, "not sent in time"));
     }
 
-    private String late() {
-        if (keeping) {
-            return "the turn could not be kept in time";
+    private String lateDetail() {
+        if (storing) {
+            return "the turn was not stored in time";
         }
         return grant.granted() ? "no whole answer in time" : "no grant of tokens in time";
     }
 
-    private void callerLeft() {
+    private void onCallerDisconnected() {
         if (call != null) {
             call.cancel(AttemptOutcome.NEUTRAL);
         }
-        if (finish()) {
-            Outcome.log(gateway, admitted, ResultCode.CANCELLED, "the caller left", Optional.ofNullable(call));
+        if (markFinished()) {
+            ResultReporter.logResult(
+                    gateway, admitted, ResultCode.CANCELLED, "the caller left", Optional.ofNullable(call));
         }
     }
 
-    private void end(Refusal refusal) {
-        if (!finish()) {
+    private void fail(Refusal refusal) {
+        if (!markFinished()) {
             return;
         }
         if (admitted.exchange().started()) {
             admitted.exchange().abort();
-            Outcome.log(gateway, admitted, refusal.code(), refusal.detail(), Optional.ofNullable(call));
+            ResultReporter.logResult(gateway, admitted, refusal.code(), refusal.detail(), Optional.ofNullable(call));
             return;
         }
-        Outcome.refuse(gateway, admitted, refusal, Optional.ofNullable(call));
+        ResultReporter.refuse(gateway, admitted, refusal, Optional.ofNullable(call));
     }
 
-    private boolean finish() {
+    private boolean markFinished() {
         if (finished) {
             return false;
         }
@@ -337,7 +342,7 @@
         if (deadline != null) {
             deadline.cancel(false);
         }
-        grant.close(events);
+        grant.close(sentEvents);
         return true;
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/TurnGrant.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/TurnGrant.java
@@ -3,7 +3,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The tokens that one turn may hand out: asked for once, and what was not handed out given back at its end. */
+/**
+ * The token grant of one turn: requested once from the budget; tokens that the turn did not deliver are returned at
+ * its end.
+ */
 final class TurnGrant {
     private final Gateway gateway;
     private final AdmittedRequest admitted;
@@ -18,22 +21,22 @@
         this.program = admitted.budgetedProgram();
     }
 
-    /** Whether the turn's events may pass. */
+    /** Whether the tokens are granted, so that events may be sent to the caller. */
     boolean granted() {
         return granted;
     }
 
     /**
-     * Whether the turn may be sent before it is granted: it begins its program, of which this VM knows nothing yet and whose
-     * whole budget covers the turn, or by what this VM knows more turns fit. Only a program that loops over several VMs can
-     * then still be refused.
+     * Whether the turn may be sent to an endpoint before its tokens are granted. This is so if it begins a program
+     * that is new to this VM and whose whole budget covers the turn, or if the budget, as last read, has room for
+     * several more turns. The grant can then be refused only to a program that runs turns at several VMs at once.
      */
     boolean hasHeadroom() {
         if (program.isEmpty()) {
             return true;
         }
-        if (gateway.map().failing()) {
-            // The grant may not come, and then the run would be lost and its outcome unknown to the caller.
+        if (gateway.store().isFailing()) {
+            // Without a grant, the run would be lost and its outcome unknown to the caller.
             return false;
         }
         long budget = admitted.request().tokenBudget().orElse(Long.MAX_VALUE);
@@ -43,8 +46,8 @@
         return admitted.beginsProgram() && budget >= admitted.maximumTokens();
     }
 
-    /** Asks for the tokens; the listener receives the verdict unless the grant was closed meanwhile. */
-    void ask(Consumer<BudgetManager.Verdict> listener) {
+    /** Requests the tokens; the listener receives the verdict unless the grant is closed before. */
+    void request(Consumer<BudgetManager.Verdict> listener) {
         if (program.isEmpty()) {
             granted = true;
             listener.accept(new BudgetManager.Verdict.Granted());
@@ -57,10 +60,10 @@
                         admitted.maximumTokens(),
                         admitted.recordRetentionMillis(),
                         admitted.outageWaitUntilMillis(),
-                        verdict -> decided(verdict, listener));
+                        verdict -> onVerdict(verdict, listener));
     }
 
-    private void decided(BudgetManager.Verdict verdict, Consumer<BudgetManager.Verdict> listener) {
+    private void onVerdict(BudgetManager.Verdict verdict, Consumer<BudgetManager.Verdict> listener) {
         reserved = verdict instanceof BudgetManager.Verdict.Granted;
         granted = reserved;
         if (closed) {
@@ -70,7 +73,7 @@
         listener.accept(verdict);
     }
 
-    /** The turn is over. */
+    /** Ends the turn and returns the tokens that its events did not use. */
     void close(long events) {
         closed = true;
         release(events);
@@ -81,7 +84,7 @@
             return;
         }
         reserved = false;
-        long handedOut = Math.min(admitted.maximumTokens(), events * admitted.tokensPerEvent());
-        program.ifPresent(name -> gateway.budgets().release(name, admitted.maximumTokens(), handedOut));
+        long deliveredTokens = Math.min(admitted.maximumTokens(), events * admitted.tokensPerEvent());
+        program.ifPresent(name -> gateway.budgets().release(name, admitted.maximumTokens(), deliveredTokens));
     }
 }
