--- a/server/src/main/java/org/quetzalshunt/server/gateway/TurnHistory.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/TurnHistory.java
@@ -21,65 +21,65 @@
 import org.quetzalshunt.wire.record.StoredRecords;
 
 /**
- * Reads and writes turns. Each lies in the shared map under its own id, with the ids of the turns before it, so that any
- * VM finds a turn whichever program or VM it came through, and reads a whole chain in two round trips.
+ * Reads and writes turns in the store. Each turn is stored under its own id together with the ids of the turns before
+ * it, so that any VM can find it without knowing its program, and reads a whole chain in two round trips.
  *
- * <p>A record never changes, so an append without an answer is simply sent again: whenever either lands, the content is
- * the same.
+ * <p>A record never changes, so an append without a response is simply repeated: the stored content is the same
+ * whichever append is applied.
  */
 final class TurnHistory {
-    /** What came of looking for a turn. */
+    /** Result of a search for a turn. */
     sealed interface Chain {
-        /** The turn and all before it, oldest first. */
+        /** The turn and all turns before it, oldest first. */
         record Found(List<TurnRecord> turns) implements Chain {}
 
-        /** The map was read, and the account has no such turn. */
+        /** The store was read, and the account has no such turn. */
         record Missing() implements Chain {}
 
-        /** The map could not be read, or holds only part of the chain. */
+        /** The store could not be read, or has only part of the chain. */
         record Unavailable(String reason) implements Chain {}
     }
 
-    /** About two minutes of one VM's turns at today's size; what is not here costs a read. */
+    /** About two minutes of one VM's turns at the expected load; other turns are read from the store. */
     private static final long CACHE_BYTES = 12 * 1024 * 1024;
 
-    /** Time of day may differ between VMs; a record is removed only when every clock says that it expired. */
+    /** The wall clocks of VMs may differ; a record is removed only when it has expired by every clock. */
     private static final long EXPIRY_MARGIN_MILLIS = 15_000;
 
-    /** Removals that ride along with one append; keeps it small. */
-    private static final int MOST_REMOVALS = 8;
+    /** Maximum number of removals of expired turns in one append, to keep appends small. */
+    private static final int MAXIMUM_REMOVALS = 8;
 
-    /** A read is attempted at least this often, since its answer may have been lost. */
-    private static final int LEAST_READS = 2;
+    /** Minimum number of attempts of a read, since a response may have been lost. */
+    private static final int MINIMUM_READS = 2;
 
-    private record Written(String id, long expiresMillis) {}
+    private record StoredTurn(String id, long expiresMillis) {}
 
     private final EventExecutor executor;
-    private final StoreClient map;
+    private final StoreClient store;
     private final NodeClock clock;
     private final BooleanSupplier isolated;
     private final TurnCache cache = TurnCache.create(CACHE_BYTES);
-    private final Map<Integer, Deque<Written>> written = new HashMap<>();
+    private final Map<Integer, Deque<StoredTurn>> storedTurns = new HashMap<>();
 
     /**
-     * Makes a history without a turn in its cache.
+     * Creates a history with an empty cache.
      *
      * @param isolated whether a retry at another VM is more likely to succeed than another attempt here
      */
-    TurnHistory(EventExecutor executor, StoreClient map, NodeClock clock, BooleanSupplier isolated) {
+    TurnHistory(EventExecutor executor, StoreClient store, NodeClock clock, BooleanSupplier isolated) {
         this.isolated = isolated;
         this.executor = executor;
-        this.map = map;
+        this.store = store;
         this.clock = clock;
     }
 
     /**
-     * Finds a turn of an account, with all turns before it.
+     * Reads a turn of an account and all turns before it.
      *
-     * @param untilMillis how long reads that fail are tried again
+     * @param retryUntilMillis time until which failed reads are retried
      */
-    void find(String id, String account, long untilMillis, Consumer<Chain> listener) {
-        turn(id, Tries.until(id, untilMillis), head -> {
+    void find(String id, String account, long retryUntilMillis, Consumer<Chain> listener) {
+        readTurn(id, ReadRetry.until(id, retryUntilMillis), head -> {
             if (head instanceof Lookup.Unavailable unavailable) {
                 listener.accept(new Chain.Unavailable(unavailable.reason()));
                 return;
@@ -89,36 +89,36 @@
                 listener.accept(new Chain.Missing());
                 return;
             }
-            collect(record.get(), untilMillis, listener);
+            readAncestors(record.get(), retryUntilMillis, listener);
         });
     }
 
-    /** Whether the turn is in this VM's memory. */
-    boolean holds(String id) {
-        return cache.find(id, clock.wall()).isPresent();
+    /** Whether the turn is in this VM's cache. */
+    boolean isCached(String id) {
+        return cache.find(id, clock.wallMillis()).isPresent();
     }
 
-    /** A turn of an account with all turns before it, if all are in this VM's memory. */
-    Optional<List<TurnRecord>> heldChain(String id, String account) {
+    /** A turn of an account and all turns before it, if all of them are in this VM's cache. */
+    Optional<List<TurnRecord>> cachedChain(String id, String account) {
         Optional<TurnRecord> last =
-                cache.find(id, clock.wall()).filter(turn -> turn.account().equals(account));
+                cache.find(id, clock.wallMillis()).filter(turn -> turn.account().equals(account));
         if (last.isEmpty()) {
             return Optional.empty();
         }
         List<TurnRecord> turns = new ArrayList<>();
         for (String ancestor : last.get().ancestors()) {
-            cache.find(ancestor, clock.wall()).ifPresent(turns::add);
+            cache.find(ancestor, clock.wallMillis()).ifPresent(turns::add);
         }
         turns.add(last.get());
         return turns.size() == last.get().ancestors().size() + 1 ? Optional.of(turns) : Optional.empty();
     }
 
-    /** Holds a turn in memory that another VM kept. */
-    void hold(TurnRecord turn) {
+    /** Adds a turn that another VM stored to the cache. */
+    void addToCache(TurnRecord turn) {
         cache.put(turn);
     }
 
-    private void collect(TurnRecord last, long untilMillis, Consumer<Chain> listener) {
+    private void readAncestors(TurnRecord last, long retryUntilMillis, Consumer<Chain> listener) {
         List<String> ids = last.ancestors();
         if (ids.isEmpty()) {
             listener.accept(new Chain.Found(List.of(last)));
@@ -126,31 +126,34 @@
         }
         TurnRecord[] turns = new TurnRecord[ids.size() + 1];
         turns[ids.size()] = last;
-        Gathering gathering = new Gathering(turns, ids.size(), listener);
+        ChainCollector collector = new ChainCollector(turns, ids.size(), listener);
         for (int index = 0; index < ids.size(); index++) {
-            int place = index;
-            turn(ids.get(index), Tries.until(ids.get(index), untilMillis), answer -> gathering.take(place, answer));
+            int position = index;
+            readTurn(
+                    ids.get(index),
+                    ReadRetry.until(ids.get(index), retryUntilMillis),
+                    answer -> collector.add(position, answer));
         }
     }
 
-    /** Waits for all ancestors; one that is missing leaves the chain unusable. */
-    private static final class Gathering {
+    /** Collects the ancestors of a turn; if one is missing, the chain is unavailable. */
+    private static final class ChainCollector {
         private final TurnRecord[] turns;
         private final Consumer<Chain> listener;
         private int outstanding;
-        private String problem;
+        private String failureReason;
 
-        Gathering(TurnRecord[] turns, int outstanding, Consumer<Chain> listener) {
+        ChainCollector(TurnRecord[] turns, int outstanding, Consumer<Chain> listener) {
             this.turns = turns;
             this.outstanding = outstanding;
             this.listener = listener;
         }
 
-        void take(int place, Lookup answer) {
+        void add(int position, Lookup answer) {
             if (answer instanceof Lookup.Read read && read.record().isPresent()) {
-                turns[place] = read.record().get();
+                turns[position] = read.record().get();
             } else {
-                problem = answer instanceof Lookup.Unavailable unavailable
+                failureReason = answer instanceof Lookup.Unavailable unavailable
                         ? unavailable.reason()
                         : "an earlier turn is missing";
             }
@@ -158,7 +161,8 @@
             if (outstanding > 0) {
                 return;
             }
-            listener.accept(problem == null ? new Chain.Found(List.of(turns)) : new Chain.Unavailable(problem));
+            listener.accept(
+                    failureReason == null ? new Chain.Found(List.of(turns)) : new Chain.Unavailable(failureReason));
         }
     }
 
@@ -168,58 +172,59 @@
         record Unavailable(String reason) implements Lookup {}
     }
 
-    /** The reads of one turn so far. */
-    private static final class Tries {
-        private final long untilMillis;
+    /** Retry state of the reads of one turn. */
+    private static final class ReadRetry {
+        private final long retryUntilMillis;
         private final Backoff backoff;
-        private int failed;
+        private int failures;
 
-        private Tries(long untilMillis, Backoff backoff) {
-            this.untilMillis = untilMillis;
+        private ReadRetry(long retryUntilMillis, Backoff backoff) {
+            this.retryUntilMillis = retryUntilMillis;
             this.backoff = backoff;
         }
 
-        static Tries until(String id, long untilMillis) {
-            return new Tries(untilMillis, new Backoff(id.hashCode()));
+        static ReadRetry until(String id, long retryUntilMillis) {
+            return new ReadRetry(retryUntilMillis, new Backoff(id.hashCode()));
         }
 
-        boolean more(long nowMillis) {
-            failed++;
-            return failed < LEAST_READS || nowMillis < untilMillis;
+        /** Counts a failed read and returns whether to retry it. */
+        boolean retryAfterFailure(long nowMillis) {
+            failures++;
+            return failures < MINIMUM_READS || nowMillis < retryUntilMillis;
         }
 
         long pauseMillis() {
-            return failed < LEAST_READS ? 0 : backoff.nextDelayMillis();
+            return failures < MINIMUM_READS ? 0 : backoff.nextDelayMillis();
         }
     }
 
-    private void turn(String id, Tries tries, Consumer<Lookup> listener) {
-        Optional<TurnRecord> cached = cache.find(id, clock.wall());
+    private void readTurn(String id, ReadRetry retry, Consumer<Lookup> listener) {
+        Optional<TurnRecord> cached = cache.find(id, clock.wallMillis());
         if (cached.isPresent()) {
             listener.accept(new Lookup.Read(cached));
             return;
         }
-        map.range(Shards.ofTurn(id), before(id), answer -> {
+        store.range(Shards.ofTurn(id), keyBefore(id), answer -> {
             if (answer instanceof RangeAnswer.Page page) {
-                Optional<TurnRecord> found = pick(page.entries(), id);
+                Optional<TurnRecord> found = findEntry(page.entries(), id);
                 found.ifPresent(cache::put);
                 listener.accept(new Lookup.Read(found));
                 return;
             }
-            if (tries.more(clock.now()) && !isolated.getAsBoolean()) {
-                executor.schedule(() -> turn(id, tries, listener), tries.pauseMillis(), TimeUnit.MILLISECONDS);
+            if (retry.retryAfterFailure(clock.now()) && !isolated.getAsBoolean()) {
+                executor.schedule(() -> readTurn(id, retry, listener), retry.pauseMillis(), TimeUnit.MILLISECONDS);
                 return;
             }
             listener.accept(new Lookup.Unavailable(((RangeAnswer.Unavailable) answer).reason()));
         });
     }
 
-    /** A key that sorts directly before the id, so that a range that starts there begins with it. */
-    private static String before(String id) {
+    /** A key that sorts shortly before the id, so that the first page of a range read after it contains the id. */
+    private static String keyBefore(String id) {
         return id.substring(0, id.length() - 1);
     }
 
-    private static Optional<TurnRecord> pick(List<MapEntry> entries, String id) {
+    private static Optional<TurnRecord> findEntry(List<MapEntry> entries, String id) {
         return entries.stream()
                 .filter(entry -> entry.key().equals(id))
                 .findFirst()
@@ -228,47 +233,47 @@
     }
 
     /**
-     * Keeps a turn, trying again until it is kept or the time is up.
+     * Stores a turn, with retries until it is stored or no longer wanted.
      *
-     * @param stillWanted asked before each further try
-     * @param listener whether it is kept for sure
+     * @param stillWanted checked before each retry
+     * @param listener receives whether the turn is certainly stored
      */
-    void keep(TurnRecord turn, BooleanSupplier stillWanted, Consumer<Boolean> listener) {
-        keep(turn, stillWanted, listener, new Backoff(turn.id().hashCode()));
+    void save(TurnRecord turn, BooleanSupplier stillWanted, Consumer<Boolean> listener) {
+        save(turn, stillWanted, listener, new Backoff(turn.id().hashCode()));
     }
 
-    private void keep(TurnRecord turn, BooleanSupplier stillWanted, Consumer<Boolean> listener, Backoff backoff) {
+    private void save(TurnRecord turn, BooleanSupplier stillWanted, Consumer<Boolean> listener, Backoff backoff) {
         MapShard shard = Shards.ofTurn(turn.id());
         List<MapEntry> entries = new ArrayList<>();
         entries.add(MapEntry.of(turn.id(), StoredRecords.encode(turn)));
-        List<Written> removals = expired(shard);
+        List<StoredTurn> removals = pollExpired(shard);
         removals.forEach(each -> entries.add(MapEntry.removal(each.id())));
-        map.append(shard, entries, OptionalLong.empty(), answer -> {
+        store.append(shard, entries, OptionalLong.empty(), answer -> {
             if (answer instanceof AppendAnswer.Appended) {
                 cache.put(turn);
-                queue(shard).addLast(new Written(turn.id(), turn.expiresMillis()));
+                storedIn(shard).addLast(new StoredTurn(turn.id(), turn.expiresMillis()));
                 listener.accept(true);
                 return;
             }
-            removals.forEach(queue(shard)::addFirst);
+            removals.forEach(storedIn(shard)::addFirst);
             if (!stillWanted.getAsBoolean()) {
                 listener.accept(false);
                 return;
             }
             executor.schedule(
-                    () -> keep(turn, stillWanted, listener, backoff), backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
+                    () -> save(turn, stillWanted, listener, backoff), backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
         });
     }
 
-    private Deque<Written> queue(MapShard shard) {
-        return written.computeIfAbsent(shard.number(), ignored -> new ArrayDeque<>());
+    private Deque<StoredTurn> storedIn(MapShard shard) {
+        return storedTurns.computeIfAbsent(shard.number(), ignored -> new ArrayDeque<>());
     }
 
-    private List<Written> expired(MapShard shard) {
-        Deque<Written> queue = queue(shard);
-        List<Written> removals = new ArrayList<>();
-        long before = clock.wall() - EXPIRY_MARGIN_MILLIS;
-        while (removals.size() < MOST_REMOVALS
+    private List<StoredTurn> pollExpired(MapShard shard) {
+        Deque<StoredTurn> queue = storedIn(shard);
+        List<StoredTurn> removals = new ArrayList<>();
+        long before = clock.wallMillis() - EXPIRY_MARGIN_MILLIS;
+        while (removals.size() < MAXIMUM_REMOVALS
                 && !queue.isEmpty()
                 && queue.peekFirst().expiresMillis() < before) {
             removals.add(queue.pollFirst());
--- a/server/src/test/java/org/quetzalshunt/server/gateway/ConfigurationFollowerTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/ConfigurationFollowerTest.java
@@ -16,8 +16,8 @@
 import org.quetzalshunt.core.routing.EndpointTable;
 
 final class ConfigurationFollowerTest {
-    private static final long AFTER_RETURN_MILLIS = 1_000;
-    private static final long FOLLOWED_MILLIS = 200;
+    private static final long RECOVERY_MILLIS = 1_000;
+    private static final long PROPAGATION_MILLIS = 200;
 
     private final EventExecutor executor = new DefaultEventExecutor();
     private final NodeClock clock = new NodeClock(() -> {});
@@ -31,7 +31,7 @@
 
     private ConfigurationFollower follower(StoreClient store, Evacuations evacuations, DecisionLog log) {
         return new ConfigurationFollower(
-                executor, store, new NoDialect(), clock, log, evacuations, configuration -> {});
+                executor, store, new EvacuationDialect(), clock, log, evacuations, configuration -> {});
     }
 
     @AfterEach
@@ -39,10 +39,13 @@
         executor.shutdownGracefully();
     }
 
-    /** Guards against callers that are refused for seconds after an outage, until a poll that was sent into it has run out. */
+    /**
+     * Guards against callers that are refused for seconds after an outage, until a poll that was sent during the
+     * outage times out.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1_700, 2_600, 3_300})
-    void proofIsRenewedSoonAfterASilentOutage(long outageMillis) throws InterruptedException {
+    void configurationIsConfirmedSoonAfterAnOutage(long outageMillis) throws InterruptedException {
         SilentMap map = new SilentMap(executor);
         DecisionLog log = log();
         StoreClient store = new StoreClient(map, clock);
@@ -52,13 +55,16 @@
         map.silent = true;
         Thread.sleep(outageMillis);
         map.silent = false;
-        Thread.sleep(AFTER_RETURN_MILLIS);
-        assertThat(follower.ageMillis()).isAtMost(AFTER_RETURN_MILLIS);
+        Thread.sleep(RECOVERY_MILLIS);
+        assertThat(follower.ageMillis()).isAtMost(RECOVERY_MILLIS);
     }
 
-    /** Guards against an evacuation that never ends, or is missed, when its record and its removal were compacted away. */
+    /**
+     * Guards against an evacuation that never ends or is missed when its record or its removal was compacted away
+     * before it was read.
+     */
     @Test
-    void evacuationsAreThoseOfTheLastWholeReadPlusWhatFollowed() throws Exception {
+    void evacuationsAreReplacedByAFullReadAfterCompaction() throws Exception {
         OperatorMap map = new OperatorMap(executor);
         map.put("south");
         map.put("west");
@@ -81,7 +87,7 @@
     }
 
     private void assertEvacuated(Evacuations evacuations, String... dataCentres) throws Exception {
-        Thread.sleep(FOLLOWED_MILLIS);
+        Thread.sleep(PROPAGATION_MILLIS);
         Set<String> seen =
                 executor.submit(() -> evacuations.ageMillis().keySet()).get();
         assertThat(seen).containsExactlyElementsIn(dataCentres);
--- a/server/src/test/java/org/quetzalshunt/server/gateway/NoDialect.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/EvacuationDialect.java
@@ -8,8 +8,8 @@
 import org.quetzalshunt.core.routing.Registration;
 import org.quetzalshunt.server.http.HttpExchange;
 
-/** Understands nothing but evacuations, for tests of parts that only pass bytes on. */
-final class NoDialect implements Dialect {
+/** Dialect that decodes only evacuations, for tests of components that pass other bytes on unread. */
+final class EvacuationDialect implements Dialect {
     @Override
     public Optional<CallerRequest> request(HttpExchange exchange) {
         return Optional.empty();
@@ -45,7 +45,7 @@
         return Optional.empty();
     }
 
-    /** Keys name data centres. */
+    /** Each key is the name of a data centre. */
     @Override
     public Optional<String> evacuatedDataCentre(String key) {
         return Optional.of(key);
--- a/server/src/test/java/org/quetzalshunt/server/gateway/EventFramesTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/EventStreamDecoderTest.java
@@ -9,44 +9,44 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-final class EventFramesTest {
+final class EventStreamDecoderTest {
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 5, 8, 13, 100})
-    void octetsPassUnchangedHoweverTheyAreCut(int size) {
+    void bytesStayUnchangedForAnyChunkSize(int size) {
         String stream = "id: 0\ndata: one\n\nid: 1\r\ndata: two\r\n\r\nx: 2\nid: 2\ndata: three\n\n";
-        EventFrames frames = EventFrames.create();
+        EventStreamDecoder decoder = EventStreamDecoder.create();
         StringBuilder octets = new StringBuilder();
         List<String> data = new ArrayList<>();
         for (int start = 0; start < stream.length(); start += size) {
-            for (EventFrames.Frame frame :
-                    frames.accept(bytes(stream.substring(start, Math.min(stream.length(), start + size))))) {
+            for (EventStreamDecoder.Frame frame :
+                    decoder.decode(bytes(stream.substring(start, Math.min(stream.length(), start + size))))) {
                 octets.append(new String(frame.octets(), StandardCharsets.UTF_8));
                 data.add(new String(frame.data(), StandardCharsets.UTF_8));
             }
         }
         assertThat(octets.toString()).isEqualTo(stream);
         assertThat(data).containsExactly("one", "two", "three").inOrder();
-        assertThat(frames.incomplete()).isFalse();
-        assertThat(frames.broken()).isFalse();
+        assertThat(decoder.hasIncompleteEvent()).isFalse();
+        assertThat(decoder.isBroken()).isFalse();
     }
 
-    /** A server breaks off in the middle of an event; its caller must not see half of one. */
+    /** Guards against a caller that receives part of an event when an endpoint breaks off in the middle of one. */
     @Test
-    void halfAnEventIsHeldBack() {
-        EventFrames frames = EventFrames.create();
-        assertThat(frames.accept(bytes("id: 0\ndata: on"))).isEmpty();
-        assertThat(frames.incomplete()).isTrue();
+    void incompleteEventIsNotReturned() {
+        EventStreamDecoder decoder = EventStreamDecoder.create();
+        assertThat(decoder.decode(bytes("id: 0\ndata: on"))).isEmpty();
+        assertThat(decoder.hasIncompleteEvent()).isTrue();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"id: 1\ndata: a\n\nid: 1\ndata: a\n\n", "id: 2\ndata: a\n\nid: 1\ndata: b\n\n"})
-    void repeatedOrReversedIdsAreABrokenStream(String stream) {
-        EventFrames frames = EventFrames.create();
-        frames.accept(bytes(stream));
-        assertThat(frames.broken()).isTrue();
+    void repeatedOrDecreasingIdsMarkTheStreamAsBroken(String stream) {
+        EventStreamDecoder decoder = EventStreamDecoder.create();
+        decoder.decode(bytes(stream));
+        assertThat(decoder.isBroken()).isTrue();
     }
 }
--- a/server/src/test/java/org/quetzalshunt/server/gateway/HomesTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/HomeDataCentresTest.java
@@ -17,12 +17,12 @@
 import org.quetzalshunt.core.route.RouteTarget;
 import org.quetzalshunt.core.route.ServiceEntry;
 
-/** The data centres of three regions in which a request may run, by what its route and its account allow. */
-final class HomesTest {
+/** Data centres of three regions in which a request may run, by the regions that its route and its account allow. */
+final class HomeDataCentresTest {
     private static final Map<String, String> REGIONS =
             Map.of("n-1", "north", "n-2", "north", "s-1", "south", "e-1", "east");
 
-    private static AdmittedRequest request(Set<String> ofRoute, Set<String> ofAccount) {
+    private static AdmittedRequest request(Set<String> routeRegions, Set<String> accountRegions) {
         Route route = new Route(
                 "chat",
                 "host",
@@ -36,7 +36,7 @@
                 true,
                 60_000,
                 false,
-                ofRoute);
+                routeRegions);
         CallerRequest request = new CallerRequest(
                 "q",
                 "host",
@@ -52,7 +52,7 @@
                 List.of(),
                 OptionalLong.empty());
         ServiceEntry service = new ServiceEntry("llm", 100, 0, Optional.empty());
-        Optional<AccountTerms> account = Optional.of(new AccountTerms("arusha", 0, 0, 0, ofAccount));
+        Optional<AccountTerms> account = Optional.of(new AccountTerms("arusha", 0, 0, 0, accountRegions));
         RequestTimeline timeline = new RequestTimeline(new NodeClock(() -> {}), 0);
         return new AdmittedRequest(null, request, route, service, account, 1, 0, 3_000, timeline, false);
     }
@@ -68,12 +68,14 @@
 
     @ParameterizedTest
     @MethodSource("homes")
-    void bothRouteAndAccountBind(Set<String> ofRoute, Set<String> ofAccount, Set<String> dataCentres) {
-        assertThat(request(ofRoute, ofAccount).homeDataCentres(REGIONS)).isEqualTo(Optional.of(dataCentres));
+    void requestRunsOnlyWhereBothRouteAndAccountAllow(
+            Set<String> routeRegions, Set<String> accountRegions, Set<String> dataCentres) {
+        assertThat(request(routeRegions, accountRegions).homeDataCentres(REGIONS))
+                .isEqualTo(Optional.of(dataCentres));
     }
 
     @Test
-    void withoutHomesItMayRunAnywhere() {
+    void requestWithoutRegionsMayRunAnywhere() {
         assertThat(request(Set.of(), Set.of()).homeDataCentres(REGIONS)).isEmpty();
     }
 }
--- a/server/src/test/java/org/quetzalshunt/server/gateway/OperatorMap.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/OperatorMap.java
@@ -14,14 +14,14 @@
 import org.quetzalshunt.core.store.RangeAnswer;
 import org.quetzalshunt.core.store.SharedMap;
 
-/** One shard in memory that operators write; it answers whole reads in pages of two, and can forget its history. */
+/** In-memory shard with records of operators. It returns range reads in pages of two and can discard its history. */
 final class OperatorMap implements SharedMap {
-    private static final int PAGE = 2;
-    private static final long WAY_MILLIS = 5;
+    private static final int PAGE_SIZE = 2;
+    private static final long LATENCY_MILLIS = 5;
 
     private final EventExecutor executor;
     private final List<MapEntry> history = new ArrayList<>();
-    private long first;
+    private long firstOffset;
 
     OperatorMap(EventExecutor executor) {
         this.executor = executor;
@@ -36,18 +36,19 @@
     }
 
     void compact() {
-        first = history.size();
+        firstOffset = history.size();
     }
 
     @Override
     public void range(MapShard shard, String after, long limitMillis, Consumer<RangeAnswer> listener) {
         later(() -> {
-            TreeMap<String, MapEntry> newest = new TreeMap<>();
-            history.forEach(entry -> newest.put(entry.key(), entry));
-            newest.values().removeIf(entry -> entry.value().isEmpty());
-            List<MapEntry> rest = List.copyOf(newest.tailMap(after, false).values());
-            List<MapEntry> page = rest.subList(0, Math.min(PAGE, rest.size()));
-            listener.accept(new RangeAnswer.Page(page, rest.size() > PAGE, history.size()));
+            TreeMap<String, MapEntry> entriesByKey = new TreeMap<>();
+            history.forEach(entry -> entriesByKey.put(entry.key(), entry));
+            entriesByKey.values().removeIf(entry -> entry.value().isEmpty());
+            List<MapEntry> remaining =
+                    List.copyOf(entriesByKey.tailMap(after, false).values());
+            List<MapEntry> page = remaining.subList(0, Math.min(PAGE_SIZE, remaining.size()));
+            listener.accept(new RangeAnswer.Page(page, remaining.size() > PAGE_SIZE, history.size()));
         });
     }
 
@@ -58,7 +59,7 @@
             OptionalLong expectedEnd,
             long limitMillis,
             Consumer<AppendAnswer> listener) {
-        throw new UnsupportedOperationException("only operators write here");
+        throw new UnsupportedOperationException("not used by ConfigurationFollower");
     }
 
     @Override
@@ -68,7 +69,7 @@
     }
 
     private ChangesAnswer changes(long from) {
-        if (from < first) {
+        if (from < firstOffset) {
             return new ChangesAnswer.Gone();
         }
         return new ChangesAnswer.Changes(
@@ -76,6 +77,6 @@
     }
 
     private void later(Runnable action) {
-        executor.schedule(action, WAY_MILLIS, TimeUnit.MILLISECONDS);
+        executor.schedule(action, LATENCY_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/server/src/test/java/org/quetzalshunt/server/gateway/SilentMap.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/SilentMap.java
@@ -12,7 +12,10 @@
 import org.quetzalshunt.core.store.RangeAnswer;
 import org.quetzalshunt.core.store.SharedMap;
 
-/** An empty map that can fall silent: calls sent meanwhile are never answered, also not after its return. */
+/**
+ * Empty map that can stop answering: a call that is made meanwhile is reported as unanswered at its time limit, even
+ * if the map answers again before.
+ */
 final class SilentMap implements SharedMap {
     private final EventExecutor executor;
     volatile boolean silent;
@@ -54,8 +57,8 @@
                 () -> listener.accept(new ChangesAnswer.Unavailable("no answer")));
     }
 
-    private void answer(long afterMillis, long limitMillis, Runnable answered, Runnable unanswered) {
+    private void answer(long afterMillis, long limitMillis, Runnable onAnswer, Runnable onTimeout) {
         boolean lost = silent;
-        executor.schedule(lost ? unanswered : answered, lost ? limitMillis : afterMillis + 1, TimeUnit.MILLISECONDS);
+        executor.schedule(lost ? onTimeout : onAnswer, lost ? limitMillis : afterMillis + 1, TimeUnit.MILLISECONDS);
     }
 }
