--- a/core/src/main/java/org/quetzalshunt/core/routing/AttemptOutcome.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/AttemptOutcome.java
@@ -1,23 +1,26 @@
 package org.quetzalshunt.core.routing;
 
-/** How an attempt at an endpoint ended, as far as the choice of endpoints is concerned. */
+/** How an attempt at an endpoint ended, as input to endpoint selection. */
 public enum AttemptOutcome {
-    /** It answered. */
+    /** The endpoint answered. */
     ANSWERED,
-    /** It answered with a failure of its own, or took far longer than a sound one. */
+    /** The endpoint returned an error of its own, or took far longer than a healthy endpoint. */
     ERRORED,
-    /** It said that it is full. */
+    /** The endpoint rejected the request because it is at capacity. */
     FULL,
-    /** It could not be reached, broke off, or answered wrongly. */
+    /** The endpoint was unreachable, closed the connection early or sent an invalid response. */
     FAILED,
-    /** Ended for a reason unrelated to the endpoint, such as a caller that left. */
+    /** The attempt ended for a reason unrelated to the endpoint, such as a caller that disconnected. */
     NEUTRAL;
 
     /**
-     * The time of an attempt is over. Before its answer began, the endpoint was noted as silent already where it took
-     * longer than a sound one, and a short time limit says nothing of it; after that, it stopped midway.
+     * Returns the outcome of an attempt that ran into its time limit. An endpoint that stalls after the first event has
+     * failed. Before the first event the outcome is neutral: an endpoint that is slower than a healthy one has already
+     * been marked as unresponsive, and a short time limit by itself says nothing about the endpoint.
+     *
+     * @param firstEventSeen whether the endpoint had sent the first event of its answer
      */
-    public static AttemptOutcome ofLate(boolean onFirstEvent) {
-        return onFirstEvent ? ERRORED : NEUTRAL;
+    public static AttemptOutcome ofLate(boolean firstEventSeen) {
+        return firstEventSeen ? ERRORED : NEUTRAL;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/routing/Availability.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/Availability.java
@@ -1,11 +1,11 @@
 package org.quetzalshunt.core.routing;
 
-/** Whether a service has endpoints that may be sent a request, whatever runs there. */
+/** Whether a service has endpoints that can be sent a request, regardless of their load. */
 public enum Availability {
-    /** It has. */
+    /** At least one endpoint accepts work. */
     AVAILABLE,
-    /** It would, if their data centres were not evacuated. */
+    /** All endpoints that could accept the request are in evacuated data centres. */
     EVACUATED,
-    /** None is registered where the request may run, or all are leaving. */
+    /** No endpoint is registered where the request may run, or all of them are shutting down. */
     NONE
 }
--- a/core/src/main/java/org/quetzalshunt/core/routing/ColdStartLimiter.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/ColdStartLimiter.java
@@ -1,58 +1,58 @@
 package org.quetzalshunt.core.routing;
 
 /**
- * Limits what this VM sends to one endpoint while that is cold: a token bucket that holds one token.
+ * Limits the rate of requests from this VM to one cold endpoint: a token bucket that holds one token.
  *
- * <p>Load pattern: all endpoints of a data centre start at once and look idle to every VM. A cold endpoint crashes under
- * more than a few requests a second from all VMs together. Each VM keeps to its part of that rate; its bucket starts with a
- * random part of a token, so that the VMs do not send their first request at the same moment.
+ * <p>Load pattern: all endpoints of a data centre start at once and look idle to every VM. A cold endpoint crashes if
+ * all VMs together send it more than a few requests per second, so each VM keeps to its part of that rate. Buckets
+ * start with a random fraction of a token so that the VMs do not send their first requests at the same moment.
  */
 final class ColdStartLimiter {
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private long untilMillis = Long.MIN_VALUE / 2;
+    private long coldUntilMillis = Long.MIN_VALUE / 2;
     private double tokens;
-    private long filledMillis;
+    private long refilledMillis;
 
     /**
-     * The endpoint is cold for some more time; 0 means that it is warm.
+     * Sets how much longer the endpoint is cold.
      *
-     * @param firstTokens tokens to begin with if it was warm before, from 0 to 1
+     * @param coldMillis remaining time, or 0 for an endpoint that is warm
+     * @param initialTokens initial tokens if the endpoint was warm before, from 0 to 1
      */
-    void cold(long nowMillis, long coldMillis, double firstTokens) {
+    void setColdTime(long nowMillis, long coldMillis, double initialTokens) {
         if (coldMillis <= 0) {
-            untilMillis = Long.MIN_VALUE / 2;
+            coldUntilMillis = Long.MIN_VALUE / 2;
             return;
         }
         if (!isCold(nowMillis)) {
-            tokens = firstTokens;
-            filledMillis = nowMillis;
+            tokens = initialTokens;
+            refilledMillis = nowMillis;
         }
-        untilMillis = nowMillis + coldMillis;
+        coldUntilMillis = nowMillis + coldMillis;
     }
 
     boolean isCold(long nowMillis) {
-        return nowMillis < untilMillis;
+        return nowMillis < coldUntilMillis;
     }
 
-    /** Whether the endpoint may be sent a request now. */
     boolean admits(long nowMillis, double requestsPerSecond) {
-        return !isCold(nowMillis) || available(nowMillis, requestsPerSecond) >= 1;
+        return !isCold(nowMillis) || availableTokens(nowMillis, requestsPerSecond) >= 1;
     }
 
-    /** A request is sent. */
-    void sent(long nowMillis, double requestsPerSecond) {
+    /** Counts a request that was sent to the endpoint. */
+    void recordSent(long nowMillis, double requestsPerSecond) {
         if (!isCold(nowMillis) || Double.isInfinite(requestsPerSecond)) {
             return;
         }
-        tokens = available(nowMillis, requestsPerSecond) - 1;
-        filledMillis = nowMillis;
+        tokens = availableTokens(nowMillis, requestsPerSecond) - 1;
+        refilledMillis = nowMillis;
     }
 
-    private double available(long nowMillis, double requestsPerSecond) {
+    private double availableTokens(long nowMillis, double requestsPerSecond) {
         if (Double.isInfinite(requestsPerSecond)) {
             return 1;
         }
-        return Math.min(1, tokens + (nowMillis - filledMillis) / MILLIS_PER_SECOND * requestsPerSecond);
+        return Math.min(1, tokens + (nowMillis - refilledMillis) / MILLIS_PER_SECOND * requestsPerSecond);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/routing/EndpointCost.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EndpointCost.java
@@ -4,28 +4,33 @@
 import org.quetzalshunt.core.policy.Policy;
 
 /**
- * What a request costs at an endpoint, in milliseconds: until it ends there, and by how much it delays what runs there.
+ * Estimates the cost of a request at an endpoint in milliseconds: the time until its answer is complete plus the delay
+ * that it causes to the requests already running there.
  *
- * <p>Load patterns: a burst, which must fill all endpoints before any queues; an endpoint that is slow or failing, which
- * must not attract work by looking empty or by failing fast; programs with long prompts, of which an engine holds most in
- * memory: read again elsewhere, each holds up every answer that the engine generates meanwhile.
+ * <p>Load patterns: a burst, which must fill all endpoints before any of them queues; a slow or failing endpoint, which
+ * must not attract work by being empty or by failing fast; programs with long prompts that are mostly in an engine's
+ * cache. A prompt that is computed again on another engine stalls all answers that this engine is generating.
  */
 final class EndpointCost {
-    /** What one request more costs below the slots, as part of a latency: a batch step grows by about 3% a request. */
-    private static final double CROWDING = 0.03;
+    /** Added latency per request while slots are free, as a fraction: a batch step grows by about 3% per request. */
+    private static final double SLOWDOWN_PER_REQUEST = 0.03;
 
-    /** Both ways to another data centre take a millisecond; the rest stands for the price of the octets. */
-    private static final double OTHER_DATA_CENTRE_MILLIS = 8;
+    /** A round trip to another data centre takes a millisecond; the rest accounts for the price of the traffic. */
+    private static final double CROSS_DATA_CENTRE_COST_MILLIS = 8;
 
     private static final double FULL_COST_MILLIS = 500;
     private static final double EJECTED_COST_MILLIS = 10_000;
 
-    /** An endpoint that failed once or twice is sound; one that said it is full, or was ejected, is not. */
-    private static final double SOUND_MILLIS = 200;
+    /**
+     * Penalty below which an endpoint is healthy. One or two failures stay below it; a full or an ejected endpoint does
+     * not.
+     */
+    private static final double HEALTHY_PENALTY_MILLIS = 200;
 
     /**
-     * Cost of a failure to its program: the caller's pause and the repeated work. Quadratic in the failure rate: isolated
-     * failures barely matter, and a failing endpoint is used only once the others queue.
+     * Cost of a failure to the request's program: the caller's back-off and the repeated work. The cost is quadratic in
+     * the failure rate, so that isolated failures barely matter and a failing endpoint is used only once the others
+     * queue.
      */
     private static final double FAILURE_COST_MILLIS = 1_500;
 
@@ -38,36 +43,36 @@
     }
 
     /**
-     * The cost of a run.
+     * Returns the cost of a request.
      *
-     * @param uncachedTokens tokens of the prompt that the endpoint would have to read
+     * @param uncachedTokens tokens of the prompt that are not in the endpoint's cache
      */
     double millis(long nowMillis, EndpointRow row, EngineSpeed speed, long uncachedTokens) {
         int load = row.inFlight + row.peersInFlight;
-        double cost = runMillis(row, speed, load) + penaltyMillis(nowMillis, row);
+        double cost = requestMillis(row, speed, load) + penaltyMillis(nowMillis, row);
         if (!row.registration.dataCentre().equals(dataCentre)) {
-            cost += OTHER_DATA_CENTRE_MILLIS;
+            cost += CROSS_DATA_CENTRE_COST_MILLIS;
         }
         if (policy.has(Mechanism.PREFILL_BACKLOG)) {
-            cost += speed.readMillis(row.prefillBacklogTokens + row.peersPrefillBacklogTokens);
+            cost += speed.prefillMillis(row.prefillBacklogTokens + row.peersPrefillBacklogTokens);
         }
-        // Prefill stalls the whole batch of the engine.
-        return cost + speed.readMillis(uncachedTokens) * (2 + load);
+        // Prefill stalls the whole batch of the engine, so every running request is delayed by it.
+        return cost + speed.prefillMillis(uncachedTokens) * (2 + load);
     }
 
-    /** Whether an endpoint has neither been full nor failed lately, so far that it matters. */
-    boolean isSound(long nowMillis, EndpointRow row) {
-        return penaltyMillis(nowMillis, row) < SOUND_MILLIS;
+    /** Whether an endpoint has been neither full nor failing enough lately to be avoided. */
+    boolean isHealthy(long nowMillis, EndpointRow row) {
+        return penaltyMillis(nowMillis, row) < HEALTHY_PENALTY_MILLIS;
     }
 
-    private double runMillis(EndpointRow row, EngineSpeed speed, int load) {
+    private double requestMillis(EndpointRow row, EngineSpeed speed, int load) {
         int slots = Math.max(1, row.registration.slots());
-        double alone = policy.has(Mechanism.TOKEN_RATE) && row.generates()
-                ? row.millisPerToken() * speed.tokensPerRun()
+        double unloadedMillis = policy.has(Mechanism.TOKEN_RATE) && row.hasTokenTime()
+                ? row.millisPerToken() * speed.tokensPerAnswer()
                 : row.latencyMillis;
-        double cost = alone * (1 + CROWDING * Math.min(load, slots));
+        double cost = unloadedMillis * (1 + SLOWDOWN_PER_REQUEST * Math.min(load, slots));
         if (load >= slots) {
-            cost += alone * (load - slots + 1) / slots;
+            cost += unloadedMillis * (load - slots + 1) / slots;
         }
         return cost;
     }
--- a/core/src/main/java/org/quetzalshunt/core/routing/EndpointRow.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EndpointRow.java
@@ -1,74 +1,82 @@
 package org.quetzalshunt.core.routing;
 
-/** One endpoint: what it said, what runs there for this VM, and how it has done lately. */
+/**
+ * State of one endpoint: its registration, this VM's and its peers' load on it, its latency, its failures and its
+ * prefix cache.
+ */
 final class EndpointRow {
-    /** Weight of the newest latency in the average: about the last ten requests count. */
+    /** Weight of the newest latency in the moving average, which covers about the last ten requests. */
     private static final double LATENCY_WEIGHT = 0.1;
 
-    /** Weight of the newest run in the time for a token: about the last twenty count. */
-    private static final double PACE_WEIGHT = 0.05;
+    /** Weight of the newest answer in the average time per token, which covers about the last twenty answers. */
+    private static final double TOKEN_TIME_WEIGHT = 0.05;
 
-    /** Weight of the newest outcome in the share of failures: about the last seven requests count. */
+    /** Weight of the newest outcome in the failure rate, which covers about the last seven requests. */
     private static final double OUTCOME_WEIGHT = 0.15;
 
     /**
-     * In this time a share of failures that nothing confirms falls to half, so that an endpoint that was left alone is
-     * tried again after some four seconds: soon enough to use it once it is sound, seldom enough while it is not.
+     * Half-life of the failure rate in the absence of new outcomes. An endpoint that gets no requests is retried after
+     * some four seconds: soon enough to use it once it has recovered, rarely enough while it has not.
      */
     private static final double FAILURE_HALF_LIFE_MILLIS = 2_000;
 
-    /** A share below this costs less than a tenth of a millisecond, and is taken for none. */
+    /** A failure rate below this costs less than a tenth of a millisecond and counts as zero. */
     private static final double NEGLIGIBLE_RATE = 0.005;
 
-    /** What fails for others may serve here, as when a link between two data centres is bad: it costs about half. */
-    private static final double PEERS_WEIGHT = 0.7;
+    /**
+     * Weight of a failure rate that a peer reported. Requests from this VM may still succeed, for example when a link
+     * between two data centres is bad; since the cost is quadratic in the rate, the weighted cost is about half.
+     */
+    private static final double PEER_RATE_WEIGHT = 0.7;
 
-    private static final long FIRST_PENALTY_MILLIS = 300;
-    private static final long LONGEST_PENALTY_MILLIS = 4_000;
+    private static final long INITIAL_EJECTION_MILLIS = 300;
+    private static final long MAXIMUM_EJECTION_MILLIS = 4_000;
 
-    final PrefixCache prompts = new PrefixCache();
+    final PrefixCache prefixCache = new PrefixCache();
     final ColdStartLimiter coldStart = new ColdStartLimiter();
     Registration registration;
     int inFlight;
     int peersInFlight;
     double latencyMillis;
-    /** Tokens of prompts that were sent there and not read yet, by this VM and by others. */
+    /** Prompt tokens sent to the endpoint by this VM that it has not prefilled yet. */
     long prefillBacklogTokens;
 
+    /** The same for prompts that peers sent. */
     long peersPrefillBacklogTokens;
-    /** Tokens that its memory holds; not known before its first prompt. */
+    /** Capacity of the prefix cache in tokens; unknown until the first prompt is sent. */
     long memoryTokens = Long.MAX_VALUE;
 
     long ejectedUntilMillis = Long.MIN_VALUE / 2;
     long fullUntilMillis = Long.MIN_VALUE / 2;
-    long removedMillis = Long.MAX_VALUE;
+    long removalMillis = Long.MAX_VALUE;
     private double millisPerToken;
     private int failures;
     private double failureRate;
     private long failureRateMillis;
     private double peersFailureRate;
-    private long peersFailureMillis;
+    private long peersFailureRateMillis;
 
     EndpointRow(Registration registration, double latencyMillis) {
         this.registration = registration;
         this.latencyMillis = latencyMillis;
     }
 
-    void succeeded(long nowMillis, long tookMillis) {
+    void recordSuccess(long nowMillis, long tookMillis) {
         failures = 0;
         ejectedUntilMillis = Long.MIN_VALUE / 2;
         latencyMillis += LATENCY_WEIGHT * (tookMillis - latencyMillis);
-        outcome(nowMillis, 0);
+        recordOutcome(nowMillis, 0);
     }
 
-    /** It generated an answer at this pace. */
-    void generated(double millisForToken) {
-        millisPerToken =
-                generates() ? millisPerToken + PACE_WEIGHT * (millisForToken - millisPerToken) : millisForToken;
+    /** Updates the average time per token with that of one answer. */
+    void recordTokenTime(double millisForToken) {
+        millisPerToken = hasTokenTime()
+                ? millisPerToken + TOKEN_TIME_WEIGHT * (millisForToken - millisPerToken)
+                : millisForToken;
     }
 
-    /** Whether its pace is known. */
-    boolean generates() {
+    /** Whether the time per token has been measured. */
+    boolean hasTokenTime() {
         return millisPerToken > 0;
     }
 
@@ -76,54 +84,57 @@
         return millisPerToken;
     }
 
-    /** It answered with a failure, or not in time. The time that this took is no latency: errors are quick. */
-    void errored(long nowMillis) {
-        outcome(nowMillis, 1);
+    /** Counts an error answer or a missing answer. The latency is not updated, because errors are fast. */
+    void recordError(long nowMillis) {
+        recordOutcome(nowMillis, 1);
     }
 
-    void failed(long nowMillis) {
-        outcome(nowMillis, 1);
-        long penalty = Math.min(LONGEST_PENALTY_MILLIS, FIRST_PENALTY_MILLIS << Math.min(failures, 10));
+    void recordFailure(long nowMillis) {
+        recordOutcome(nowMillis, 1);
+        long ejectionMillis = Math.min(MAXIMUM_EJECTION_MILLIS, INITIAL_EJECTION_MILLIS << Math.min(failures, 10));
         failures++;
-        ejectedUntilMillis = nowMillis + penalty;
+        ejectedUntilMillis = nowMillis + ejectionMillis;
     }
 
-    private void outcome(long nowMillis, double failed) {
+    private void recordOutcome(long nowMillis, double failure) {
         double present = decayed(nowMillis, failureRate, failureRateMillis);
-        failureRate = present + OUTCOME_WEIGHT * (failed - present);
+        failureRate = present + OUTCOME_WEIGHT * (failure - present);
         failureRateMillis = nowMillis;
     }
 
-    /** Another VM said which share of its requests fails here; the worst that was said counts, and fades likewise. */
-    void onPeerFailureRates(long nowMillis, double share) {
-        double present = decayed(nowMillis, peersFailureRate, peersFailureMillis);
-        if (share > present) {
-            peersFailureRate = share;
-            peersFailureMillis = nowMillis;
+    /**
+     * Takes in a peer's failure rate for this endpoint. The highest reported rate counts, and it decays like this VM's
+     * own rate.
+     */
+    void recordPeerFailureRate(long nowMillis, double rate) {
+        double present = decayed(nowMillis, peersFailureRate, peersFailureRateMillis);
+        if (rate > present) {
+            peersFailureRate = rate;
+            peersFailureRateMillis = nowMillis;
         }
     }
 
-    /** Share of this VM's own requests that fail here, as seen lately. */
+    /** Recent share of this VM's own requests that failed here. */
     double ownFailureRate(long nowMillis) {
         return decayed(nowMillis, failureRate, failureRateMillis);
     }
 
-    /** The same, or what another VM said where that weighs more. */
+    /** This VM's own failure rate or the weighted rate of its peers, whichever is higher. */
     double failureRate(long nowMillis) {
-        double others = PEERS_WEIGHT * decayed(nowMillis, peersFailureRate, peersFailureMillis);
-        return Math.max(ownFailureRate(nowMillis), others);
+        double peersRate = PEER_RATE_WEIGHT * decayed(nowMillis, peersFailureRate, peersFailureRateMillis);
+        return Math.max(ownFailureRate(nowMillis), peersRate);
     }
 
-    private static double decayed(long nowMillis, double share, long sinceMillis) {
-        if (share < NEGLIGIBLE_RATE) {
+    private static double decayed(long nowMillis, double rate, long sinceMillis) {
+        if (rate < NEGLIGIBLE_RATE) {
             return 0;
         }
-        return share * Math.pow(0.5, Math.max(0, nowMillis - sinceMillis) / FAILURE_HALF_LIFE_MILLIS);
+        return rate * Math.pow(0.5, Math.max(0, nowMillis - sinceMillis) / FAILURE_HALF_LIFE_MILLIS);
     }
 
-    /** Forgets what its former life earned. */
-    void restarted() {
-        prompts.clear();
+    /** Clears the cache contents and the failures of the previous process after a restart under the same id. */
+    void resetAfterRestart() {
+        prefixCache.clear();
         prefillBacklogTokens = 0;
         failureRate = 0;
         peersFailureRate = 0;
--- a/core/src/main/java/org/quetzalshunt/core/routing/EndpointSelector.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EndpointSelector.java
@@ -7,34 +7,36 @@
 import org.quetzalshunt.core.policy.Policy;
 
 /**
- * Selects the endpoint at which a request costs least ({@link EndpointCost}) among a sample of the sound ones ({@link
- * CandidateSample}) and those that hold its prompt prefix or should ({@link PrefixPlacement}).
+ * Selects the endpoint with the lowest cost ({@link EndpointCost}) among a sample of the healthy endpoints ({@link
+ * CandidateSample}), the endpoints that hold the prompt, and the one that the prompt's prefix is assigned to ({@link
+ * PrefixPlacement}).
  */
 final class EndpointSelector {
     private final String dataCentre;
-    private final PrefixPlacement homes;
+    private final PrefixPlacement placement;
     private final EndpointCost cost;
     private final Policy policy;
     private final SplittableRandom random;
 
-    EndpointSelector(String dataCentre, PrefixPlacement homes, Policy policy, SplittableRandom random) {
+    EndpointSelector(String dataCentre, PrefixPlacement placement, Policy policy, SplittableRandom random) {
         this.dataCentre = dataCentre;
-        this.homes = homes;
+        this.placement = placement;
         this.cost = new EndpointCost(dataCentre, policy);
         this.policy = policy;
         this.random = random;
     }
 
-    /** The best of a service's endpoints; empty when none takes work. */
+    /** Returns the best of the given endpoints; empty when none can be used. */
     Optional<Selection> select(long nowMillis, List<EndpointRow> open, EngineSpeed speed, RoutingRequest request) {
-        Optional<PrefixPlacement.Home> home = home(nowMillis, open, request);
+        Optional<PrefixPlacement.Assignment> assignment = assignment(nowMillis, open, request);
         Selection best = null;
-        for (EndpointRow row : candidates(nowMillis, open, home, request)) {
+        for (EndpointRow row : candidates(nowMillis, open, assignment, request)) {
             long uncached = uncachedTokens(nowMillis, row, request.prompt());
-            long spared = home.filter(each -> each.endpoint().equals(row.registration.id()))
-                    .map(PrefixPlacement.Home::sparedTokens)
+            long credited = assignment
+                    .filter(each -> each.endpoint().equals(row.registration.id()))
+                    .map(PrefixPlacement.Assignment::creditedTokens)
                     .orElse(0L);
-            double millis = cost.millis(nowMillis, row, speed, Math.max(0, uncached - spared)) + random.nextDouble();
+            double millis = cost.millis(nowMillis, row, speed, Math.max(0, uncached - credited)) + random.nextDouble();
             if (best == null || millis < best.expectedMillis()) {
                 best = new Selection(row.registration, uncached, millis);
             }
@@ -42,16 +44,20 @@
         return Optional.ofNullable(best);
     }
 
-    private Optional<PrefixPlacement.Home> home(long nowMillis, List<EndpointRow> open, RoutingRequest request) {
-        boolean placed = policy.has(Mechanism.PREFIX_AFFINITY)
+    private Optional<PrefixPlacement.Assignment> assignment(
+            long nowMillis, List<EndpointRow> open, RoutingRequest request) {
+        boolean usesPlacement = policy.has(Mechanism.PREFIX_AFFINITY)
                 && policy.has(Mechanism.PREFIX_PLACEMENT)
                 && !request.prompt().isEmpty();
-        return placed ? homes.find(nowMillis, open, request.prompt()) : Optional.empty();
+        return usesPlacement ? placement.assign(nowMillis, open, request.prompt()) : Optional.empty();
     }
 
-    /** The endpoints to compare: a few sound ones by chance, and those that hold the prompt. */
+    /** The endpoints to compare: a random sample of the healthy ones, and those with affinity to the prompt. */
     private List<EndpointRow> candidates(
-            long nowMillis, List<EndpointRow> open, Optional<PrefixPlacement.Home> home, RoutingRequest request) {
+            long nowMillis,
+            List<EndpointRow> open,
+            Optional<PrefixPlacement.Assignment> assignment,
+            RoutingRequest request) {
         List<EndpointRow> usable = open.stream()
                 .filter(row -> row.inFlight < request.limits().maximumInFlight())
                 .filter(row -> request.limits().allows(row.registration.dataCentre()))
@@ -61,25 +67,27 @@
         if (!policy.has(Mechanism.TWO_CHOICES)) {
             return usable;
         }
-        List<EndpointRow> sound =
-                usable.stream().filter(row -> cost.isSound(nowMillis, row)).toList();
-        if (sound.isEmpty()) {
+        List<EndpointRow> healthy =
+                usable.stream().filter(row -> cost.isHealthy(nowMillis, row)).toList();
+        if (healthy.isEmpty()) {
             return usable;
         }
         return CandidateSample.of(
-                sound,
+                healthy,
                 random,
                 row -> row.registration.dataCentre().equals(dataCentre),
-                row -> isAffine(row, home, request.prompt()));
+                row -> hasAffinity(row, assignment, request.prompt()));
     }
 
-    private boolean isAffine(EndpointRow row, Optional<PrefixPlacement.Home> home, List<PrefixPart> prompt) {
+    private boolean hasAffinity(
+            EndpointRow row, Optional<PrefixPlacement.Assignment> assignment, List<PrefixPart> prompt) {
         if (prompt.isEmpty() || !policy.has(Mechanism.PREFIX_AFFINITY)) {
             return false;
         }
-        boolean placedHere = home.filter(each -> each.endpoint().equals(row.registration.id()))
+        boolean assignedHere = assignment
+                .filter(each -> each.endpoint().equals(row.registration.id()))
                 .isPresent();
-        return placedHere || row.prompts.heldParts(prompt) == prompt.size();
+        return assignedHere || row.prefixCache.cachedParts(prompt) == prompt.size();
     }
 
     private long uncachedTokens(long nowMillis, EndpointRow row, List<PrefixPart> prompt) {
@@ -87,7 +95,7 @@
             return 0;
         }
         return policy.has(Mechanism.PREFIX_PLACEMENT)
-                ? homes.uncachedTokens(nowMillis, row, prompt)
-                : row.prompts.uncachedTokens(prompt);
+                ? placement.uncachedTokens(nowMillis, row, prompt)
+                : row.prefixCache.uncachedTokens(prompt);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/routing/EndpointTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EndpointTable.java
@@ -13,87 +13,94 @@
 import org.quetzalshunt.core.policy.Policy;
 
 /**
- * The endpoints of all services with what this VM and its peers have seen of them: loads, failures, speeds, and the prompt
- * prefixes in engines' memory. {@link EndpointSelector} chooses among them.
+ * The endpoints of all services with the loads, failure rates, speeds and cached prompt prefixes that this VM and its
+ * peers have observed. {@link EndpointSelector} chooses among them.
  */
 public final class EndpointTable {
-    /** After an endpoint said that it is full, it is asked again only when nothing else is free. */
-    private static final long FULL_MILLIS = 40;
+    /** Time after a rejection at capacity in which the endpoint is used only if no other has free slots. */
+    private static final long FULL_PENALTY_MILLIS = 40;
 
-    /** Two failures among the last requests; one is not worth telling other VMs. */
-    private static final double FAILURE_WORTH_TELLING = 0.2;
+    /**
+     * Minimum failure rate that is reported to peers: two failures among the last requests. A single failure is not
+     * significant.
+     */
+    private static final double MINIMUM_REPORTED_FAILURE_RATE = 0.2;
 
-    /** Prefix locations in one report to peers; the newest are kept. */
-    private static final int MOST_NEWS = 512;
+    /** Maximum number of prefix locations in one report to peers; the newest are kept. */
+    private static final int MAXIMUM_NEW_LOCATIONS = 512;
 
-    private final PrefixPlacement homes;
+    private final PrefixPlacement placement;
     private final SplittableRandom random;
     private final EndpointSelector selector;
     private final Policy policy;
     private final EndpointRows rows = new EndpointRows();
-    private final PeerCounts peersRunning = new PeerCounts(this::addRunning);
-    private final PeerCounts peersPrefillBacklog = new PeerCounts(this::addUnread);
+    private final PeerCounts peersInFlight = new PeerCounts(this::addPeerInFlight);
+    private final PeerCounts peersPrefillBacklog = new PeerCounts(this::addPeerPrefillBacklog);
     private final Map<String, EngineSpeed> speeds = new HashMap<>();
-    private final ArrayDeque<PrefixLocation> news = new ArrayDeque<>();
+    private final ArrayDeque<PrefixLocation> newLocations = new ArrayDeque<>();
 
     private EndpointTable(String dataCentre, long startedMillis, Policy policy) {
-        this.homes = new PrefixPlacement(startedMillis);
+        this.placement = new PrefixPlacement(startedMillis);
         this.random = new SplittableRandom(startedMillis);
-        this.selector = new EndpointSelector(dataCentre, homes, policy, random);
+        this.selector = new EndpointSelector(dataCentre, placement, policy, random);
         this.policy = policy;
     }
 
     /**
-     * Makes an empty table for a VM in a data centre.
+     * Creates an empty table for a VM in a data centre.
      *
-     * @param startedMillis when its process began, in Unix milliseconds
+     * @param startedMillis when the process started, in Unix milliseconds
      */
     public static EndpointTable create(String dataCentre, long startedMillis, Policy policy) {
         return new EndpointTable(dataCentre, startedMillis, policy);
     }
 
-    /** Takes in what an endpoint said of itself. */
+    /** Adds or updates an endpoint from its registration. */
     public void registered(long nowMillis, Registration registration) {
-        rows.registered(registration).coldStart.cold(nowMillis, registration.coldMillis(), random.nextDouble());
+        rows.register(registration).coldStart.setColdTime(nowMillis, registration.coldMillis(), random.nextDouble());
     }
 
-    /** Sets the data centres that operators evacuate: no request is sent there any more, what runs there ends there. */
+    /**
+     * Sets the data centres that operators evacuate. Their endpoints get no new requests; running requests are
+     * completed.
+     */
     public void setEvacuated(Set<String> dataCentres) {
         rows.setEvacuated(dataCentres);
     }
 
-    /** Forgets an endpoint. */
+    /** Removes an endpoint. */
     public void removed(String id) {
-        rows.removed(id);
+        rows.remove(id);
     }
 
-    /** Marks an endpoint to be forgotten at a later moment, unless it registers again before. */
+    /** Schedules the removal of an endpoint; a registration before that time cancels the removal. */
     public void removedAt(String id, long atMillis) {
-        rows.find(id).ifPresent(row -> row.removedMillis = Math.min(row.removedMillis, atMillis));
+        rows.find(id).ifPresent(row -> row.removalMillis = Math.min(row.removalMillis, atMillis));
     }
 
-    /** Forgets the endpoints whose moment has come. */
+    /** Removes the endpoints whose scheduled removal is due. */
     public void sweep(long nowMillis) {
-        rows.sweep(nowMillis);
+        rows.removeDue(nowMillis);
     }
 
-    /** Ids of all endpoints known. */
+    /** Ids of all known endpoints. */
     public Collection<String> ids() {
         return rows.all().stream().map(row -> row.registration.id()).toList();
     }
 
-    /** An endpoint by its id. */
+    /** Finds an endpoint by its id. */
     public Optional<Registration> find(String id) {
         return rows.find(id).map(row -> row.registration);
     }
 
-    /** The best endpoint for a request; empty when the service has none that takes work. */
+    /** Selects the best endpoint for a request; empty when the service has none that can be used. */
     public Optional<Selection> select(long nowMillis, RoutingRequest request) {
         Optional<Selection> selection =
                 selector.select(nowMillis, rows.open(request.service()), speed(request.service()), request);
         selection
                 .flatMap(selected -> rows.find(selected.registration().id()))
-                .ifPresent(row -> row.coldStart.sent(nowMillis, request.limits().coldRequestsPerSecond()));
+                .ifPresent(row ->
+                        row.coldStart.recordSent(nowMillis, request.limits().coldRequestsPerSecond()));
         return selection;
     }
 
@@ -102,8 +109,9 @@
     }
 
     /**
-     * Whether some endpoint may hold the last part of a prompt, which belongs to one line of turns: a turn of it ran before.
-     * A process that began among running engines cannot tell for a while.
+     * Whether some endpoint may have the last part of a prompt in its cache. That part belongs to a single
+     * conversation, so this tells a later turn from a first one. Shortly after this process started, every endpoint
+     * that was running long before may hold the part.
      */
     public boolean mayCache(long nowMillis, String service, List<PrefixPart> prompt) {
         if (prompt.isEmpty()) {
@@ -111,160 +119,185 @@
         }
         List<PrefixPart> last = prompt.subList(prompt.size() - 1, prompt.size());
         return rows.open(service).stream()
-                .anyMatch(row -> row.prompts.heldParts(last) > 0 || homes.warm(nowMillis, row));
+                .anyMatch(row -> row.prefixCache.cachedParts(last) > 0 || placement.isAssumedWarm(nowMillis, row));
     }
 
-    /** An endpoint is sent a prompt of which it has to read some tokens; it will hold all of it. */
+    /**
+     * Records that a prompt is sent to an endpoint, which will hold all of it in its cache.
+     *
+     * @param uncachedTokens tokens of the prompt that the endpoint has to prefill
+     */
     public void prompted(String id, RoutingRequest request, long uncachedTokens) {
         rows.find(id).ifPresent(row -> {
             row.prefillBacklogTokens += uncachedTokens;
             row.memoryTokens = request.memoryTokens();
-            request.prompt().forEach(part -> hold(row, part));
+            request.prompt().forEach(part -> recordPrefix(row, part));
         });
     }
 
-    private void hold(EndpointRow row, PrefixPart part) {
-        if (!row.prompts.holds(part)) {
-            news.addLast(new PrefixLocation(row.registration.id(), part));
+    private void recordPrefix(EndpointRow row, PrefixPart part) {
+        if (!row.prefixCache.contains(part)) {
+            newLocations.addLast(new PrefixLocation(row.registration.id(), part));
         }
-        if (news.size() > MOST_NEWS) {
-            news.removeFirst();
+        if (newLocations.size() > MAXIMUM_NEW_LOCATIONS) {
+            newLocations.removeFirst();
         }
-        row.prompts.hold(part, row.memoryTokens);
+        row.prefixCache.add(part, row.memoryTokens);
     }
 
-    /** What other VMs do not know yet of where prompts lie; each place is given out once. */
+    /** Returns the prefix locations that have not been reported to peers yet, and clears them. */
     public List<PrefixLocation> takeNewLocations() {
-        List<PrefixLocation> places = List.copyOf(news);
-        news.clear();
-        return policy.has(Mechanism.SHARED_PREFIX_LOCATIONS) ? places : List.of();
+        List<PrefixLocation> locations = List.copyOf(newLocations);
+        newLocations.clear();
+        return policy.has(Mechanism.SHARED_PREFIX_LOCATIONS) ? locations : List.of();
     }
 
-    /** Another VM sent parts of prompts to endpoints. */
-    public void onPeerPrefixes(List<PrefixLocation> places) {
-        places.forEach(place ->
-                rows.find(place.endpoint()).ifPresent(row -> row.prompts.hold(place.part(), row.memoryTokens)));
+    /** Records the prefix locations that a peer reported. */
+    public void onPeerPrefixes(List<PrefixLocation> locations) {
+        locations.forEach(location -> rows.find(location.endpoint())
+                .ifPresent(row -> row.prefixCache.add(location.part(), row.memoryTokens)));
     }
 
-    /** An endpoint sent the first event of an answer. */
+    /**
+     * Records that an endpoint sent the first event of an answer.
+     *
+     * @param uncachedTokens tokens of the prompt that the endpoint had to prefill
+     * @param tookMillis time since the request was sent
+     */
     public void onFirstEvent(String id, long uncachedTokens, long tookMillis) {
-        rows.find(id).ifPresent(row -> speed(row.registration.service()).read(uncachedTokens, tookMillis));
+        rows.find(id).ifPresent(row -> speed(row.registration.service()).recordPrefill(uncachedTokens, tookMillis));
     }
 
-    /** An endpoint has read a prompt, or will not. */
+    /** Removes a prompt from the prefill backlog of an endpoint, because its prefill is done or was abandoned. */
     public void prefillDone(String id, long uncachedTokens) {
         rows.find(id)
                 .ifPresent(row -> row.prefillBacklogTokens = Math.max(0, row.prefillBacklogTokens - uncachedTokens));
     }
 
-    /** An endpoint generated a whole answer; the time is that after its first event. */
+    /**
+     * Records that an endpoint generated a complete answer.
+     *
+     * @param tokensAfterFirst tokens generated after the first event
+     * @param tookMillis time since the first event
+     */
     public void generated(String id, long tokensAfterFirst, long tookMillis) {
         if (tokensAfterFirst <= 0) {
             return;
         }
         double millisForToken = Math.max(1, tookMillis) / (double) tokensAfterFirst;
         rows.find(id).ifPresent(row -> {
-            row.generated(millisForToken);
-            speed(row.registration.service()).generated(tokensAfterFirst);
+            row.recordTokenTime(millisForToken);
+            speed(row.registration.service()).recordGeneration(tokensAfterFirst);
         });
     }
 
-    /** An attempt starts at an endpoint. */
+    /** Records the start of an attempt at an endpoint. */
     public void started(String id) {
         rows.find(id).ifPresent(row -> row.inFlight++);
     }
 
-    /** An attempt ended. */
-    public void finished(long nowMillis, String id, AttemptOutcome finish, long tookMillis) {
-        rows.find(id).ifPresent(row -> finished(nowMillis, row, finish, tookMillis));
+    /** Records the end of an attempt at an endpoint. */
+    public void finished(long nowMillis, String id, AttemptOutcome outcome, long tookMillis) {
+        rows.find(id).ifPresent(row -> finished(nowMillis, row, outcome, tookMillis));
     }
 
-    private static void finished(long nowMillis, EndpointRow row, AttemptOutcome finish, long tookMillis) {
+    private static void finished(long nowMillis, EndpointRow row, AttemptOutcome outcome, long tookMillis) {
         row.inFlight = Math.max(0, row.inFlight - 1);
-        switch (finish) {
-            case ANSWERED -> row.succeeded(nowMillis, tookMillis);
-            case ERRORED -> row.errored(nowMillis);
-            case FULL -> row.fullUntilMillis = nowMillis + FULL_MILLIS;
-            case FAILED -> row.failed(nowMillis);
+        switch (outcome) {
+            case ANSWERED -> row.recordSuccess(nowMillis, tookMillis);
+            case ERRORED -> row.recordError(nowMillis);
+            case FULL -> row.fullUntilMillis = nowMillis + FULL_PENALTY_MILLIS;
+            case FAILED -> row.recordFailure(nowMillis);
             case NEUTRAL -> {}
         }
     }
 
     /**
-     * An attempt has had no sign of an answer for longer than a sound endpoint takes. It goes on, since its outcome is
-     * unknown, but no more work should follow it there.
+     * Records that an attempt has been without a response for longer than a healthy endpoint takes. The attempt
+     * continues, since its outcome is unknown, but it counts as an error of the endpoint so that no more work is sent
+     * there.
      */
     public void silent(long nowMillis, String id) {
-        rows.find(id).ifPresent(row -> row.errored(nowMillis));
+        rows.find(id).ifPresent(row -> row.recordError(nowMillis));
     }
 
-    /** Endpoints that fail a part of this VM's requests, with that share. */
+    /** Failure rates of this VM's own requests, for the endpoints with a significant rate. */
     public Map<String, Double> failing(long nowMillis) {
         Map<String, Double> failing = new HashMap<>();
         for (EndpointRow row : rows.all()) {
-            double share = row.ownFailureRate(nowMillis);
-            if (share >= FAILURE_WORTH_TELLING) {
-                failing.put(row.registration.id(), share);
+            double failureRate = row.ownFailureRate(nowMillis);
+            if (failureRate >= MINIMUM_REPORTED_FAILURE_RATE) {
+                failing.put(row.registration.id(), failureRate);
             }
         }
         return failing;
     }
 
-    /** Another VM said which endpoints fail a part of its requests. */
-    public void onPeerFailureRates(long nowMillis, Map<String, Double> shares) {
-        shares.forEach((id, share) ->
-                rows.find(id).ifPresent(row -> row.onPeerFailureRates(nowMillis, Math.min(1, Math.max(0, share)))));
+    /** Records the failure rates that a peer reported. */
+    public void onPeerFailureRates(long nowMillis, Map<String, Double> failureRates) {
+        failureRates.forEach((id, failureRate) -> rows.find(id)
+                .ifPresent(row -> row.recordPeerFailureRate(nowMillis, Math.min(1, Math.max(0, failureRate)))));
     }
 
-    /** Another VM said how many tokens it sent that are not read yet; endpoints left out have none of them. */
+    /**
+     * Replaces the prefill backlog that a peer reported.
+     *
+     * @param unread tokens by endpoint that the peer sent and that are not prefilled yet; a missing endpoint has none
+     */
     public void onPeerPrefillBacklog(String vm, Map<String, Long> unread) {
-        peersPrefillBacklog.report(vm, unread);
+        peersPrefillBacklog.replace(vm, unread);
     }
 
-    private void addUnread(String id, long tokens) {
+    private void addPeerPrefillBacklog(String id, long tokens) {
         rows.find(id)
                 .ifPresent(row -> row.peersPrefillBacklogTokens = Math.max(0, row.peersPrefillBacklogTokens + tokens));
     }
 
-    /** Another VM said how much of its own runs where; endpoints left out have none of it. */
+    /**
+     * Replaces the requests in flight that a peer reported.
+     *
+     * @param running requests by endpoint; a missing endpoint has none
+     */
     public void onPeerRunning(String vm, Map<String, Integer> running) {
         Map<String, Long> counts = new HashMap<>();
         running.forEach((id, count) -> counts.put(id, count.longValue()));
-        peersRunning.report(vm, counts);
+        peersInFlight.replace(vm, counts);
     }
 
-    private void addRunning(String id, long count) {
+    private void addPeerInFlight(String id, long count) {
         rows.find(id).ifPresent(row -> row.peersInFlight = (int) Math.max(0, row.peersInFlight + count));
     }
 
-    /** Another VM is gone or silent. */
+    /** Removes the load of a peer that is dead or unreachable. */
     public void removePeer(String vm) {
-        peersRunning.forget(vm);
-        peersPrefillBacklog.forget(vm);
+        peersInFlight.remove(vm);
+        peersPrefillBacklog.remove(vm);
     }
 
-    /** Requests that this VM has at each endpoint where it has any. */
+    /** Requests of this VM in flight by endpoint; endpoints without any are left out. */
     public Map<String, Integer> running() {
-        return nonZero(row -> row.inFlight);
+        return nonZeroCounts(row -> row.inFlight);
     }
 
-    /** Tokens that this VM sent to endpoints and that they have not read yet, where there are any. */
+    /**
+     * Prompt tokens by endpoint that this VM sent and that are not prefilled yet; endpoints without any are left out.
+     */
     public Map<String, Long> unread() {
-        return nonZero(row -> row.prefillBacklogTokens);
+        return nonZeroCounts(row -> row.prefillBacklogTokens);
     }
 
-    private <N extends Number> Map<String, N> nonZero(Function<EndpointRow, N> count) {
+    private <N extends Number> Map<String, N> nonZeroCounts(Function<EndpointRow, N> count) {
         Map<String, N> counts = new HashMap<>();
         for (EndpointRow row : rows.all()) {
-            N here = count.apply(row);
-            if (here.longValue() > 0) {
-                counts.put(row.registration.id(), here);
+            N value = count.apply(row);
+            if (value.longValue() > 0) {
+                counts.put(row.registration.id(), value);
             }
         }
         return counts;
     }
 
-    /** Whether the service has endpoints that take work where a request may run. */
+    /** Whether a service has endpoints that accept work in the data centres that the limits allow. */
     public Availability availability(String service, EndpointLimits limits) {
         if (rows.open(service).stream().anyMatch(row -> limits.allows(row.registration.dataCentre()))) {
             return Availability.AVAILABLE;
--- a/core/src/main/java/org/quetzalshunt/core/routing/EngineSpeed.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EngineSpeed.java
@@ -1,54 +1,58 @@
 package org.quetzalshunt.core.routing;
 
 /**
- * How fast the engines of one service are, as seen lately: learnt from their answers, so that nothing is taken from a
- * sheet.
+ * Recent prefill speed and answer length of the engines of one service, estimated from their answers so that nothing
+ * has to be configured.
  */
 final class EngineSpeed {
-    /** Assumed before anything was read, in tokens a millisecond. */
-    private static final double FIRST_READ_TOKENS_PER_MILLI = 100;
+    /** Assumed before the first measurement, in tokens per millisecond. */
+    private static final double INITIAL_PREFILL_TOKENS_PER_MILLI = 100;
 
-    /** Assumed before anything was generated. */
-    private static final double FIRST_TOKENS_PER_RUN = 128;
+    /** Assumed before the first answer. */
+    private static final double INITIAL_TOKENS_PER_ANSWER = 128;
 
-    /** Prompts shorter than this say little: the way and the engine's first step outweigh their reading. */
-    private static final long LEAST_READ_TOKENS = 2_000;
+    /** Shorter prompts are ignored: network latency and the first engine step outweigh their prefill time. */
+    private static final long MINIMUM_PREFILL_TOKENS = 2_000;
 
-    /** Weight of the newest run: about the last hundred count. */
-    private static final double RUN_WEIGHT = 0.01;
+    /** Weight of the newest answer, so that about the last hundred count. */
+    private static final double ANSWER_WEIGHT = 0.01;
 
-    /** Part of all readings that are slower than the speed believed in: most share their engine with others. */
-    private static final double SLOWER_PART = 0.9;
+    /**
+     * Share of measurements that are slower than the estimate. Most prefills share their engine with other requests, so
+     * that the true speed is near the fastest measurements.
+     */
+    private static final double SLOWER_SHARE = 0.9;
 
-    /** How far one reading moves the speed, as a part of it. */
-    private static final double READ_STEP = 0.05;
+    /** Relative change of the estimate per measurement. */
+    private static final double PREFILL_STEP = 0.05;
 
-    private double readTokensPerMilli = FIRST_READ_TOKENS_PER_MILLI;
-    private double tokensPerRun = FIRST_TOKENS_PER_RUN;
+    private double prefillTokensPerMilli = INITIAL_PREFILL_TOKENS_PER_MILLI;
+    private double tokensPerAnswer = INITIAL_TOKENS_PER_ANSWER;
 
     /**
-     * An engine read a prompt and began its answer. The speed follows a quantile of the readings by steps of fixed size, so
-     * that a prompt which the engine held against expectation, and so seems to have read in no time, counts as one reading.
+     * Takes in the prefill of one prompt. The estimate follows a quantile of the measured speeds by steps of fixed
+     * size. A prompt that was unexpectedly in the cache seems to take no time at all, and in this way counts as just
+     * one measurement.
      */
-    void read(long tokens, long tookMillis) {
-        if (tokens < LEAST_READ_TOKENS) {
+    void recordPrefill(long tokens, long tookMillis) {
+        if (tokens < MINIMUM_PREFILL_TOKENS) {
             return;
         }
-        double seen = tokens / (double) Math.max(1, tookMillis);
-        double step = seen > readTokensPerMilli ? SLOWER_PART : SLOWER_PART - 1;
-        readTokensPerMilli *= 1 + READ_STEP * step;
+        double measured = tokens / (double) Math.max(1, tookMillis);
+        double step = measured > prefillTokensPerMilli ? SLOWER_SHARE : SLOWER_SHARE - 1;
+        prefillTokensPerMilli *= 1 + PREFILL_STEP * step;
     }
 
-    /** An engine generated an answer after its first event. */
-    void generated(long tokens) {
-        tokensPerRun += RUN_WEIGHT * (tokens - tokensPerRun);
+    /** Takes in the number of tokens that were generated after the first event of an answer. */
+    void recordGeneration(long tokens) {
+        tokensPerAnswer += ANSWER_WEIGHT * (tokens - tokensPerAnswer);
     }
 
-    double readMillis(long tokens) {
-        return tokens / readTokensPerMilli;
+    double prefillMillis(long tokens) {
+        return tokens / prefillTokensPerMilli;
     }
 
-    double tokensPerRun() {
-        return tokensPerRun;
+    double tokensPerAnswer() {
+        return tokensPerAnswer;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/routing/PeerCounts.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/PeerCounts.java
@@ -4,32 +4,32 @@
 import java.util.Map;
 import java.util.function.ObjLongConsumer;
 
-/** Counts by endpoint as other VMs tell them, each VM anew and whole; what it said before is taken back first. */
+/** Counts by endpoint that peers report. A new report of a peer replaces its previous one. */
 final class PeerCounts {
     private final Map<String, Map<String, Long>> byVm = new HashMap<>();
     private final ObjLongConsumer<String> add;
 
     /**
-     * Makes an empty table.
+     * Creates an empty table.
      *
-     * @param add adds to the sum of an endpoint, or takes off
+     * @param add adds a count, which may be negative, to the sum of an endpoint over all peers
      */
     PeerCounts(ObjLongConsumer<String> add) {
         this.add = add;
     }
 
-    /** A VM said its counts; endpoints left out have none. */
-    void report(String vm, Map<String, Long> counts) {
-        forget(vm);
+    /** Replaces the counts of a VM; a missing endpoint has none. */
+    void replace(String vm, Map<String, Long> counts) {
+        remove(vm);
         byVm.put(vm, counts);
         counts.forEach(add::accept);
     }
 
-    /** A VM is gone or silent. */
-    void forget(String vm) {
-        Map<String, Long> former = byVm.remove(vm);
-        if (former != null) {
-            former.forEach((endpoint, count) -> add.accept(endpoint, -count));
+    /** Removes the counts of a VM that is dead or unreachable. */
+    void remove(String vm) {
+        Map<String, Long> previous = byVm.remove(vm);
+        if (previous != null) {
+            previous.forEach((endpoint, count) -> add.accept(endpoint, -count));
         }
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/routing/PrefixCache.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/PrefixCache.java
@@ -6,67 +6,67 @@
 import java.util.Map;
 
 /**
- * The parts of prompts that one endpoint is believed to hold: what was sent there, less what its memory had to give up.
- * Engines give up the least recently used part first, and so does this table.
+ * Estimated contents of the prefix cache of one endpoint: the prompt parts that were sent there, minus those that the
+ * engine must have evicted. Like the engines, it evicts the least recently used part first.
  */
 final class PrefixCache {
-    /** Bounds the table where an endpoint does not tell the size of its memory. */
-    private static final int MOST_PARTS = 4_096;
+    /** Limits the table size for endpoints that do not report the size of their memory. */
+    private static final int MAXIMUM_PARTS = 4_096;
 
     private final LinkedHashMap<String, Long> tokensByPart = new LinkedHashMap<>();
-    private long held;
+    private long totalTokens;
 
-    /** Takes in a part that was sent there; a part that it holds grows, but does not shrink. */
-    void hold(PrefixPart part, long capacityTokens) {
-        // Taken out and put in again, it is the newest; a look-up does not count as a use.
-        Long former = tokensByPart.remove(part.id());
-        long before = former == null ? 0 : former;
-        long now = Math.max(before, part.tokens());
-        tokensByPart.put(part.id(), now);
-        held += now - before;
+    /** Adds a part that was sent to the endpoint. The recorded size of a part grows but never shrinks. */
+    void add(PrefixPart part, long capacityTokens) {
+        // Reinsertion makes the part the most recently used one; a lookup does not count as a use.
+        Long previousTokens = tokensByPart.remove(part.id());
+        long oldTokens = previousTokens == null ? 0 : previousTokens;
+        long newTokens = Math.max(oldTokens, part.tokens());
+        tokensByPart.put(part.id(), newTokens);
+        totalTokens += newTokens - oldTokens;
         evict(capacityTokens);
     }
 
     private void evict(long capacityTokens) {
         Iterator<Map.Entry<String, Long>> oldest = tokensByPart.entrySet().iterator();
-        while ((held > capacityTokens || tokensByPart.size() > MOST_PARTS) && tokensByPart.size() > 1) {
-            held -= oldest.next().getValue();
+        while ((totalTokens > capacityTokens || tokensByPart.size() > MAXIMUM_PARTS) && tokensByPart.size() > 1) {
+            totalTokens -= oldest.next().getValue();
             oldest.remove();
         }
     }
 
-    /** Whether it holds as much of a part as that, or more. */
-    boolean holds(PrefixPart part) {
-        return heldTokens(part) >= part.tokens();
+    /** Whether at least the given number of tokens of a part is cached. */
+    boolean contains(PrefixPart part) {
+        return cachedTokens(part) >= part.tokens();
     }
 
-    /** How many of a prompt's first parts it holds at all; the last of them may have grown since. */
-    int heldParts(List<PrefixPart> prompt) {
+    /** Returns the number of leading parts of a prompt that are cached at least partly. */
+    int cachedParts(List<PrefixPart> prompt) {
         int count = 0;
-        while (count < prompt.size() && heldTokens(prompt.get(count)) > 0) {
+        while (count < prompt.size() && cachedTokens(prompt.get(count)) > 0) {
             count++;
         }
         return count;
     }
 
-    private long heldTokens(PrefixPart part) {
+    private long cachedTokens(PrefixPart part) {
         return tokensByPart.getOrDefault(part.id(), 0L);
     }
 
-    /** Tokens of a prompt that it would have to read: all that follows the first part that it does not hold whole. */
+    /** Returns the tokens of a prompt that need prefill: all of them from the first uncached token on. */
     long uncachedTokens(List<PrefixPart> prompt) {
-        long missing = 0;
+        long uncached = 0;
         boolean gap = false;
         for (PrefixPart part : prompt) {
-            long here = gap ? 0 : Math.min(part.tokens(), heldTokens(part));
-            missing += part.tokens() - here;
-            gap |= here < part.tokens();
+            long cached = gap ? 0 : Math.min(part.tokens(), cachedTokens(part));
+            uncached += part.tokens() - cached;
+            gap |= cached < part.tokens();
         }
-        return missing;
+        return uncached;
     }
 
     void clear() {
         tokensByPart.clear();
-        held = 0;
+        totalTokens = 0;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/routing/PrefixLocation.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/PrefixLocation.java
@@ -1,9 +1,9 @@
 package org.quetzalshunt.core.routing;
 
 /**
- * Where a part of a prompt lies.
+ * An endpoint whose cache holds a part of a prompt.
  *
- * @param endpoint id of the endpoint that it was sent to
- * @param part the part, with the tokens that were sent
+ * @param endpoint id of the endpoint
+ * @param part the part, with the number of tokens that were sent
  */
 public record PrefixLocation(String endpoint, PrefixPart part) {}
--- a/core/src/main/java/org/quetzalshunt/core/routing/PrefixPlacement.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/PrefixPlacement.java
@@ -5,74 +5,81 @@
 import org.quetzalshunt.core.membership.Rendezvous;
 
 /**
- * The endpoint that reads a part of a prompt which none is known to hold: all VMs take the same, by rendezvous hashing over
- * the endpoints that hold most of what comes before it. So VMs agree without communication.
+ * Assigns a prompt part that is not cached anywhere to one endpoint. All VMs choose the same endpoint without
+ * communication, by rendezvous hashing over the endpoints that hold the most preceding parts.
  *
- * <p>Load patterns: a start of all, in which each VM would have each common part read at another endpoint; turns that move
- * between VMs faster than word of them; VMs that were killed and have forgotten where all lines ran, while the engines
- * still hold them.
+ * <p>Load patterns: all VMs start at once, and each of them would have the common parts prefilled at a different
+ * endpoint; turns of a program reach different VMs faster than the prefix locations do; VMs restart and have lost all
+ * prefix locations, while the engines still hold the prefixes.
  */
 final class PrefixPlacement {
     /**
-     * A home.
+     * The endpoint that a part is assigned to.
      *
-     * @param endpoint its id
-     * @param sparedTokens tokens that are counted as held there
+     * @param endpoint id of the endpoint
+     * @param creditedTokens size of the part, which the selection counts as cached there
      */
-    record Home(String endpoint, long sparedTokens) {}
+    record Assignment(String endpoint, long creditedTokens) {}
 
-    /** Engines of this age when this process began have most likely read the common parts already. */
-    private static final long WARM_MILLIS = 10_000;
+    /** An engine that was at least this old when this process started has most likely cached the common parts. */
+    private static final long WARM_AGE_MILLIS = 10_000;
 
-    /** For so long after this process began that is counted on; then it knows itself what it had read. */
-    private static final long TRUST_MILLIS = 20_000;
+    /** How long after its start a process relies on that assumption; later its own records are sufficient. */
+    private static final long ASSUMPTION_MILLIS = 20_000;
 
     private final long startedMillis;
-    private long trustedUntilMillis = Long.MAX_VALUE;
+    private long assumedUntilMillis = Long.MAX_VALUE;
 
-    /** Makes the rule for a process that began at a Unix time in milliseconds. */
+    /**
+     * Creates the placement.
+     *
+     * @param startedMillis when the process started, in Unix milliseconds
+     */
     PrefixPlacement(long startedMillis) {
         this.startedMillis = startedMillis;
     }
 
-    /** The home of the first part that is held nowhere; empty when some endpoint holds the whole prompt. */
-    Optional<Home> find(long nowMillis, List<EndpointRow> open, List<PrefixPart> prompt) {
-        int deepest = 0;
+    /** Assigns the first part of a prompt that no endpoint holds; empty when some endpoint holds the whole prompt. */
+    Optional<Assignment> assign(long nowMillis, List<EndpointRow> open, List<PrefixPart> prompt) {
+        int most = 0;
         for (EndpointRow row : open) {
-            deepest = Math.max(deepest, heldParts(nowMillis, row, prompt));
+            most = Math.max(most, cachedParts(nowMillis, row, prompt));
         }
-        if (deepest >= prompt.size()) {
+        if (most >= prompt.size()) {
             return Optional.empty();
         }
-        int depth = deepest;
+        int mostCached = most;
         List<EndpointRow> holders = open.stream()
-                .filter(row -> heldParts(nowMillis, row, prompt) == depth)
+                .filter(row -> cachedParts(nowMillis, row, prompt) == mostCached)
                 .toList();
-        return home(holders, prompt.get(depth));
+        return assignByRendezvous(holders, prompt.get(mostCached));
     }
 
-    private int heldParts(long nowMillis, EndpointRow row, List<PrefixPart> prompt) {
-        int known = row.prompts.heldParts(prompt);
-        return known == 0 && prompt.size() > 1 && warm(nowMillis, row) ? 1 : known;
+    private int cachedParts(long nowMillis, EndpointRow row, List<PrefixPart> prompt) {
+        int recorded = row.prefixCache.cachedParts(prompt);
+        return recorded == 0 && prompt.size() > 1 && isAssumedWarm(nowMillis, row) ? 1 : recorded;
     }
 
-    /** Tokens to read at an endpoint, the common part left out where it is taken to be held. */
+    /** Returns the tokens that need prefill at an endpoint, without the common part if it is assumed to be cached. */
     long uncachedTokens(long nowMillis, EndpointRow row, List<PrefixPart> prompt) {
-        boolean common = prompt.size() > 1 && row.prompts.heldParts(prompt) == 0 && warm(nowMillis, row);
-        return row.prompts.uncachedTokens(common ? prompt.subList(1, prompt.size()) : prompt);
+        boolean commonCached =
+                prompt.size() > 1 && row.prefixCache.cachedParts(prompt) == 0 && isAssumedWarm(nowMillis, row);
+        return row.prefixCache.uncachedTokens(commonCached ? prompt.subList(1, prompt.size()) : prompt);
     }
 
-    /** Whether an endpoint is taken to hold what is common, since it ran long before this process. */
-    boolean warm(long nowMillis, EndpointRow row) {
-        if (trustedUntilMillis == Long.MAX_VALUE) {
-            trustedUntilMillis = nowMillis + TRUST_MILLIS;
+    /** Whether an endpoint is assumed to hold the common parts because it was running long before this process. */
+    boolean isAssumedWarm(long nowMillis, EndpointRow row) {
+        if (assumedUntilMillis == Long.MAX_VALUE) {
+            assumedUntilMillis = nowMillis + ASSUMPTION_MILLIS;
         }
-        long born = row.registration.bornMillis();
-        return nowMillis < trustedUntilMillis && born > 0 && born < startedMillis - WARM_MILLIS;
+        long endpointStartedMillis = row.registration.bornMillis();
+        return nowMillis < assumedUntilMillis
+                && endpointStartedMillis > 0
+                && endpointStartedMillis < startedMillis - WARM_AGE_MILLIS;
     }
 
-    private static Optional<Home> home(List<EndpointRow> among, PrefixPart part) {
-        List<String> ids = among.stream().map(row -> row.registration.id()).toList();
-        return Rendezvous.winner(part.id(), ids).map(id -> new Home(id, part.tokens()));
+    private static Optional<Assignment> assignByRendezvous(List<EndpointRow> candidates, PrefixPart part) {
+        List<String> ids = candidates.stream().map(row -> row.registration.id()).toList();
+        return Rendezvous.winner(part.id(), ids).map(id -> new Assignment(id, part.tokens()));
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/routing/Registration.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/Registration.java
@@ -1,15 +1,15 @@
 package org.quetzalshunt.core.routing;
 
 /**
- * An endpoint's registration of itself.
+ * The registration that an endpoint publishes.
  *
- * @param id its id; a restart mostly has another
+ * @param id id of the endpoint; usually changes with a restart
  * @param service service that it belongs to
- * @param address IP number, colon, port
- * @param dataCentre where it is
- * @param slots requests that it works on at once
- * @param leaving whether it takes no new work
- * @param coldMillis how much longer it takes only a few requests a second, as it said; 0 once it is warm
+ * @param address IP address, colon, port
+ * @param dataCentre data centre that it runs in
+ * @param slots number of requests that it processes concurrently
+ * @param leaving whether it is shutting down and accepts no new work
+ * @param coldMillis remaining time in which it accepts only a few requests per second; 0 when it is warm
  * @param bornMillis when its process started, in Unix milliseconds; distinguishes restarts under the same id
  */
 public record Registration(
@@ -21,7 +21,7 @@
         boolean leaving,
         long coldMillis,
         long bornMillis) {
-    /** Whether it says the same of itself as another registration, but for the time that passes while it is cold. */
+    /** Whether two registrations are equal except for the remaining time of a cold endpoint. */
     public boolean sameAs(Registration other) {
         return (coldMillis > 0) == (other.coldMillis > 0) && withCold(0).equals(other.withCold(0));
     }
--- a/core/src/main/java/org/quetzalshunt/core/routing/RoutingRequest.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/RoutingRequest.java
@@ -4,17 +4,17 @@
 import java.util.Set;
 
 /**
- * What a request wants of an endpoint.
+ * The properties of a request that determine its endpoint.
  *
- * @param service its service
- * @param excluded ids that it was already sent to
- * @param prompt parts of its prompt in order; empty for work that reads none
- * @param memoryTokens tokens that an engine of the service holds in memory
- * @param limits what bounds this VM's use of endpoints
+ * @param service service that the request is for
+ * @param excluded ids of endpoints that it was already sent to
+ * @param prompt parts of the prompt in order; empty for a request without a prompt
+ * @param memoryTokens capacity of an engine's prefix cache in tokens
+ * @param limits limits on this VM's use of the endpoints
  */
 public record RoutingRequest(
         String service, Set<String> excluded, List<PrefixPart> prompt, long memoryTokens, EndpointLimits limits) {
-    /** What a request without a prompt wants. */
+    /** Creates a routing request without a prompt. */
     public static RoutingRequest plain(String service, Set<String> excluded, EndpointLimits limits) {
         return new RoutingRequest(service, excluded, List.of(), 0, limits);
     }
--- a/core/src/main/java/org/quetzalshunt/core/routing/Selection.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/Selection.java
@@ -1,10 +1,10 @@
 package org.quetzalshunt.core.routing;
 
 /**
- * A chosen endpoint, with what was believed of it.
+ * The selected endpoint and the estimates that the selection was based on.
  *
  * @param registration the endpoint
- * @param uncachedTokens tokens of the prompt that it does not hold
+ * @param uncachedTokens tokens of the prompt that are not in its cache
  * @param expectedMillis cost of the request there
  */
 public record Selection(Registration registration, long uncachedTokens, double expectedMillis) {}
--- a/core/src/main/java/org/quetzalshunt/core/routing/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Endpoints as they register themselves, and the choice among them. */
+/** Endpoint registrations and the selection of an endpoint for each request. */
 package org.quetzalshunt.core.routing;
--- a/core/src/test/java/org/quetzalshunt/core/routing/ColdStartTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/ColdStartTest.java
@@ -16,10 +16,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.quetzalshunt.core.policy.Policy;
 
-/** All endpoints of a data centre come back cold and idle, while many VMs that know each other's loads late have work. */
+/**
+ * All endpoints of a data centre restart cold and idle, while many VMs that see each other's loads with a delay have
+ * requests waiting.
+ */
 final class ColdStartTest {
-    private static final double BEARABLE_PER_SECOND = 33;
-    private static final double PART = 0.5;
+    private static final double SAFE_REQUESTS_PER_SECOND = 33;
+    private static final double ALLOWED_PART = 0.5;
     private static final long COLD_MILLIS = 3_000;
     private static final long WINDOW_MILLIS = 1_000;
     private static final int COLD = 2;
@@ -30,29 +33,29 @@
     }
 
     private static EndpointLimits limits(int vms) {
-        return new EndpointLimits(100, PART * BEARABLE_PER_SECOND / vms, Optional.empty());
+        return new EndpointLimits(100, ALLOWED_PART * SAFE_REQUESTS_PER_SECOND / vms, Optional.empty());
     }
 
     /** Guards against cold endpoints that crash because each VM sends its next request to the one that looks idle. */
     @ParameterizedTest
     @CsvSource({"1, 200", "8, 400", "26, 400", "26, 2000", "334, 4000"})
-    void coldEndpointGetsNoMoreThanItBears(int vms, int requestsPerSecond) {
+    void coldEndpointIsNotOverloaded(int vms, int requestsPerSecond) {
         Random random = new Random(vms);
         List<EndpointTable> tables = new ArrayList<>();
-        Map<Integer, Long> learnt = new HashMap<>();
+        Map<Integer, Long> learntMillis = new HashMap<>();
         for (int vm = 0; vm < vms; vm++) {
             tables.add(EndpointTable.create("a", 1_000 + vm, Policy.whole()));
-            learnt.put(vm, (long) random.nextInt(700));
+            learntMillis.put(vm, (long) random.nextInt(700));
         }
         Map<String, ArrayDeque<Long>> sent = new HashMap<>();
         for (long now = 0; now < COLD_MILLIS; now++) {
             for (int vm = 0; vm < vms; vm++) {
-                register(tables.get(vm), now, learnt.get(vm));
+                register(tables.get(vm), now, learntMillis.get(vm));
             }
             int arrivals = requestsPerSecond / 1_000 + (random.nextInt(1_000) < requestsPerSecond % 1_000 ? 1 : 0);
             for (int arrival = 0; arrival < arrivals; arrival++) {
                 int vm = random.nextInt(vms);
-                if (now >= learnt.get(vm)) {
+                if (now >= learntMillis.get(vm)) {
                     send(tables.get(vm), now, vms, sent);
                 }
             }
@@ -85,11 +88,11 @@
         }
         assertWithMessage("requests to %s in the second before %s ms", id, now)
                 .that((double) window.size())
-                .isAtMost(BEARABLE_PER_SECOND);
+                .isAtMost(SAFE_REQUESTS_PER_SECOND);
     }
 
     @Test
-    void coldEndpointIsUsedSparinglyWhereNoOtherIsLeft() {
+    void coldEndpointIsRateLimitedEvenIfNoOtherIsLeft() {
         EndpointTable table = EndpointTable.create("a", 1, Policy.whole());
         table.registered(0, registration("cold", COLD_MILLIS));
         int served = 0;
@@ -112,7 +115,7 @@
         }
     }
 
-    /** Guards against a bucket that starts anew with each heartbeat of an endpoint that is still cold. */
+    /** Guards against a token bucket that is refilled by each heartbeat of an endpoint that is still cold. */
     @Test
     void heartbeatsOfAColdEndpointAddNoTokens() {
         EndpointTable table = EndpointTable.create("a", 1, Policy.whole());
--- a/core/src/test/java/org/quetzalshunt/core/routing/EndpointTableTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/EndpointTableTest.java
@@ -14,9 +14,12 @@
 import org.quetzalshunt.core.policy.Mechanism;
 import org.quetzalshunt.core.policy.Policy;
 
-/** Who gets work: in a burst, with a slow, a full and a failing endpoint among healthy ones, and with cached prompts. */
+/**
+ * Endpoint selection by cost: in a burst, with a slow, a full or a failing endpoint among healthy ones, and with cached
+ * prompts.
+ */
 final class EndpointTableTest {
-    /** Compares all endpoints, so that costs alone decide. */
+    /** Compares all endpoints, so that the choice depends on costs alone. */
     private static final Policy ALL_COMPARED = Policy.without(Set.of(Mechanism.TWO_CHOICES));
 
     private final EndpointTable table = EndpointTable.create("a", 7, ALL_COMPARED);
@@ -50,17 +53,17 @@
 
     @Test
     void burstFillsAllEndpointsBeforeAnyQueues() {
-        Map<String, Integer> given = new HashMap<>();
+        Map<String, Integer> requestsByEndpoint = new HashMap<>();
         for (int request = 0; request < 32; request++) {
             String id = select(0);
             table.started(id);
-            given.merge(id, 1, Integer::sum);
+            requestsByEndpoint.merge(id, 1, Integer::sum);
         }
-        assertThat(given.values()).containsExactly(8, 8, 8, 8);
+        assertThat(requestsByEndpoint.values()).containsExactly(8, 8, 8, 8);
     }
 
     @Test
-    void workOfOtherVmsCounts() {
+    void loadOfOtherVmsIsCounted() {
         table.onPeerRunning("vm-2", Map.of("e0", 8, "e1", 8, "e2", 8));
         assertThat(select(0)).isEqualTo("e3");
         table.onPeerRunning("vm-2", Map.of("e3", 8, "e1", 8, "e2", 8));
@@ -83,9 +86,12 @@
         }
     }
 
-    /** An endpoint that refuses connections looks idle: without a penalty it would draw every request of a burst. */
+    /**
+     * Guards against an endpoint that refuses connections and looks idle: without a penalty it would attract every
+     * request of a burst.
+     */
     @Test
-    void failingEndpointIsLeftAloneForAWhileAndTriedAgain() {
+    void unreachableEndpointIsEjectedAndRetriedLater() {
         table.started("e0");
         table.finished(1_000, "e0", AttemptOutcome.FAILED, 1);
         for (int request = 0; request < 24; request++) {
@@ -97,7 +103,7 @@
     }
 
     @Test
-    void onlyFailingEndpointsAreBetterThanNone() {
+    void failingEndpointsAreUsedIfThereAreNoOthers() {
         for (int number = 0; number < 4; number++) {
             table.started("e" + number);
             table.finished(0, "e" + number, AttemptOutcome.FAILED, 1);
@@ -115,7 +121,7 @@
     }
 
     @Test
-    void cachedPromptDrawsWorkUnlessWaitingThereCostsMore() {
+    void cachedPromptAttractsWorkUntilQueueingCostsMore() {
         RoutingRequest request = new RoutingRequest(
                 "llm", Set.of(), List.of(new PrefixPart("own", 1_200)), 90_000, EndpointLimits.inFlight(100));
         table.prompted("e2", request, 1_200);
@@ -127,7 +133,7 @@
     }
 
     @Test
-    void leavingEndpointGetsNothing() {
+    void endpointThatShutsDownGetsNoWork() {
         table.registered(0, registration(0, true, 1));
         for (int request = 0; request < 30; request++) {
             assertThat(select(request)).isNotEqualTo("e0");
@@ -140,7 +146,7 @@
     }
 
     @Test
-    void restartUnderTheSameIdStartsClean() {
+    void restartUnderTheSameIdClearsFailures() {
         table.started("e0");
         table.finished(0, "e0", AttemptOutcome.FAILED, 1);
         table.registered(0, registration(0, false, 2));
@@ -148,9 +154,12 @@
         assertThat(select(10)).isEqualTo("e0");
     }
 
-    /** Entries lapse while the store is away and come back: an endpoint that returned in time is not forgotten. */
+    /**
+     * Guards against the removal of a live endpoint after an outage of the store, in which its registration expired and
+     * was renewed.
+     */
     @Test
-    void heldRemovalIsUndoneByARegistration() {
+    void scheduledRemovalIsCancelledByARegistration() {
         table.removedAt("e0", 2_000);
         table.removedAt("e1", 2_000);
         table.registered(0, registration(0, false, 1));
@@ -160,12 +169,12 @@
     }
 
     /**
-     * An endpoint answers 45 of 100 requests with an error, at once, and the others well. Programs on it fail, while by
-     * its short times and empty slots it looks like the best of all. Even shares would send it a quarter of the work.
+     * Guards against an endpoint that answers 45 of 100 requests with an immediate error. It looks like the best one
+     * because of its short latency and its free slots. An even share would be a quarter of the requests.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void endpointThatFailsFastDrawsLittleWork(long seed) {
+    void endpointThatFailsFastAttractsLittleWork(long seed) {
         Random random = new Random(seed);
         int atFailing = 0;
         for (int request = 0; request < 600; request++) {
@@ -179,9 +188,9 @@
         assertThat(atFailing).isAtMost(60);
     }
 
-    /** One tool call in a hundred ends with an error of its own; that alone must not move work to queues elsewhere. */
+    /** Guards against moving work to busy endpoints because of the one tool call in a hundred that fails by itself. */
     @Test
-    void singleErrorDoesNotSendWorkIntoQueues() {
+    void singleErrorDoesNotMoveWorkToBusyEndpoints() {
         for (int number = 1; number < 4; number++) {
             for (int request = 0; request < 9; request++) {
                 table.started("e" + number);
@@ -192,9 +201,12 @@
         assertThat(select(10)).isEqualTo("e0");
     }
 
-    /** With many VMs each sees few requests of an endpoint: what fails for one must be avoided by all. */
+    /**
+     * Guards against each VM having to find a failing endpoint by itself: with many VMs, each one sees only few
+     * requests of an endpoint.
+     */
     @Test
-    void endpointThatFailsForAnotherVmIsAvoidedUntilTheWordFades() {
+    void endpointFailingForAnotherVmIsAvoidedUntilTheRateDecays() {
         table.onPeerFailureRates(0, Map.of("e0", 0.5, "gone", 1.0));
         for (int request = 0; request < 12; request++) {
             assertThat(select(0)).isNotEqualTo("e0");
@@ -208,9 +220,9 @@
         assertThat(table.failing(0)).isEmpty();
     }
 
-    /** An endpoint takes requests and answers none. Its callers wait; no more may follow them there. */
+    /** Guards against sending more requests to an endpoint that accepts requests but answers none. */
     @Test
-    void silentEndpointGetsNoMoreWork() {
+    void unresponsiveEndpointGetsNoMoreWork() {
         for (int request = 0; request < 3; request++) {
             table.started("e0");
             table.silent(1_000, "e0");
--- a/core/src/test/java/org/quetzalshunt/core/routing/EngineShapesTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/EngineShapesTest.java
@@ -9,12 +9,12 @@
 import org.quetzalshunt.core.policy.Policy;
 
 /**
- * The choice of engines must fit engines that nobody has seen yet: slow and fast readers, few and many slots, no common
- * prompts and long ones, memory for a few prompts and for all. Score to reach: turns as fast as those of the plain choice
- * by load, or faster, in every shape, and no more tokens read.
+ * Guards against an endpoint selection that is tuned to one kind of engine. The cases cover slow and fast prefill, few
+ * and many slots, no and long common prompts, and caches for a few prompts or for all. In each case the mean turn must
+ * take at most 5% longer than with selection by load alone, and no more tokens may be prefilled.
  */
 final class EngineShapesTest {
-    private static final double EVEN = 1.05;
+    private static final double TOLERANCE = 1.05;
     private static final int SEEDS = 3;
 
     @ParameterizedTest
@@ -29,7 +29,7 @@
         "24, 12, 205, 1.27, 12600, 387797, 50",
         "2, 48, 205, 1.27, 12600, 1181151, 5"
     })
-    void turnsAreNoSlowerThanByLoadAlone(
+    void turnsAreNoSlowerThanWithSelectionByLoadAlone(
             int engines,
             int slots,
             double readTokensPerMilli,
@@ -37,7 +37,7 @@
             long commonTokens,
             long memoryTokens,
             double programsPerSecond) {
-        EnginePlay.Shape shape = EnginePlay.Shape.few(
+        EngineSimulation.Shape shape = EngineSimulation.Shape.sixGateways(
                 engines, slots, readTokensPerMilli, stepMillis, commonTokens, memoryTokens, programsPerSecond);
         Policy plain = Policy.without(EnumSet.of(
                 Mechanism.PREFIX_AFFINITY,
@@ -45,21 +45,21 @@
                 Mechanism.PREFIX_PLACEMENT,
                 Mechanism.PREFILL_BACKLOG,
                 Mechanism.TOKEN_RATE));
-        double whole = 0;
-        double byLoad = 0;
-        long read = 0;
-        long readByLoad = 0;
+        double wholeMillis = 0;
+        double plainMillis = 0;
+        long wholeTokensRead = 0;
+        long plainTokensRead = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            EnginePlay.Result ours = EnginePlay.play(shape, Policy.whole(), seed);
-            EnginePlay.Result theirs = EnginePlay.play(shape, plain, seed);
-            whole += ours.meanTurnMillis();
-            byLoad += theirs.meanTurnMillis();
-            read += ours.tokensRead();
-            readByLoad += theirs.tokensRead();
+            EngineSimulation.Result wholeResult = EngineSimulation.simulate(shape, Policy.whole(), seed);
+            EngineSimulation.Result plainResult = EngineSimulation.simulate(shape, plain, seed);
+            wholeMillis += wholeResult.meanTurnMillis();
+            plainMillis += plainResult.meanTurnMillis();
+            wholeTokensRead += wholeResult.tokensRead();
+            plainTokensRead += plainResult.tokensRead();
         }
-        String figures = shape + ": " + whole / SEEDS + " ms, by load " + byLoad / SEEDS + " ms; read " + read + ", "
-                + readByLoad;
-        assertWithMessage(figures).that(whole).isAtMost(EVEN * byLoad);
-        assertWithMessage(figures).that(read).isAtMost(readByLoad);
+        String figures = shape + ": " + wholeMillis / SEEDS + " ms, by load " + plainMillis / SEEDS + " ms; read "
+                + wholeTokensRead + ", " + plainTokensRead;
+        assertWithMessage(figures).that(wholeMillis).isAtMost(TOLERANCE * plainMillis);
+        assertWithMessage(figures).that(wholeTokensRead).isAtMost(plainTokensRead);
     }
 }
--- a/core/src/test/java/org/quetzalshunt/core/routing/EnginePlay.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/EngineSimulation.java
@@ -11,23 +11,24 @@
 import org.quetzalshunt.core.policy.Policy;
 
 /**
- * A few gateways before a few engines in virtual time: programs whose turns arrive through any gateway and go on from a
- * growing prompt, engines that read and generate in one batch, and word between gateways that comes late.
+ * Simulates a few gateways and engines in virtual time. Programs send their turns through random gateways with a
+ * growing prompt, engines prefill and generate in one batch, and gateways receive each other's load reports with a
+ * delay.
  */
-final class EnginePlay {
+final class EngineSimulation {
     /**
-     * What engines and traffic are like.
+     * Parameters of the engines and of the traffic.
      *
-     * @param engines how many
-     * @param slots requests that one generates for at once
-     * @param readTokensPerMilli speed of reading; everything else of the engine stands still meanwhile
-     * @param stepMillis time of a token for a batch of one; each request more adds a fiftieth
-     * @param commonTokens size of the part that programs share, of which there are eight
-     * @param memoryTokens what one engine holds
-     * @param programsPerSecond arrivals
-     * @param gateways how many
-     * @param reportMillis how often each gateway reports its loads to the others
-     * @param dataCentres over which gateways and engines are spread
+     * @param engines number of engines
+     * @param slots requests that an engine processes in one batch
+     * @param readTokensPerMilli prefill speed; generation stalls during prefill
+     * @param stepMillis time per token for a batch of one; each further request adds a fiftieth
+     * @param commonTokens size of a common prompt part; programs share eight of them
+     * @param memoryTokens capacity of an engine's prefix cache
+     * @param programsPerSecond arrival rate of programs
+     * @param gateways number of gateways
+     * @param reportMillis interval at which each gateway reports its loads to the others
+     * @param dataCentres number of data centres over which gateways and engines are spread
      */
     record Shape(
             int engines,
@@ -40,8 +41,8 @@
             int gateways,
             long reportMillis,
             int dataCentres) {
-        /** Six gateways that report four times a second. */
-        static Shape few(
+        /** Creates a shape with six gateways in one data centre that report four times a second. */
+        static Shape sixGateways(
                 int engines,
                 int slots,
                 double readTokensPerMilli,
@@ -64,38 +65,38 @@
     }
 
     /**
-     * What came of a play.
+     * Result of a simulation.
      *
-     * @param meanTurnMillis from a turn's arrival to its end
-     * @param tokensRead by all engines
+     * @param meanTurnMillis mean time from the arrival of a turn to its end
+     * @param tokensRead tokens prefilled by all engines
      * @param queuedShare share of turns that waited for a slot while another engine had one free
      */
     record Result(double meanTurnMillis, long tokensRead, double queuedShare) {}
 
     private static final int COMMON_PARTS = 8;
-    private static final int TURNS = 5;
+    private static final int TURNS_PER_PROGRAM = 5;
     private static final int TICK_MILLIS = 5;
-    private static final int LENGTH_MILLIS = 20_000;
-    private static final double CROWDING = 0.02;
+    private static final int ARRIVAL_MILLIS = 20_000;
+    private static final double SLOWDOWN_PER_REQUEST = 0.02;
     private static final long TURN_TOKENS = 900;
-    private static final long MOST_GENERATED = 300;
+    private static final long MAXIMUM_GENERATED = 300;
 
     private static final class Turn {
         int number;
-        String line;
+        String conversation;
         PrefixPart common;
-        long lineTokens;
+        long conversationTokens;
         long arrivedMillis;
         EndpointTable gateway;
-        Selection choice;
+        Selection selection;
         double unread;
-        double toGenerate;
+        double remainingTokens;
         long generated;
         long sentMillis;
-        long firstMillis = -1;
+        long firstEventMillis = -1;
 
         List<PrefixPart> prompt() {
-            PrefixPart own = new PrefixPart(line, lineTokens);
+            PrefixPart own = new PrefixPart(conversation, conversationTokens);
             return common.tokens() == 0 ? List.of(own) : List.of(common, own);
         }
     }
@@ -112,12 +113,12 @@
     private final List<EndpointTable> gateways = new ArrayList<>();
     private final PriorityQueue<Turn> arrivals =
             new PriorityQueue<>((one, other) -> Long.compare(one.arrivedMillis, other.arrivedMillis));
-    private double millisInAll;
+    private double totalTurnMillis;
     private long turns;
     private double read;
     private long queued;
 
-    private EnginePlay(Shape shape, Policy policy, long seed) {
+    private EngineSimulation(Shape shape, Policy policy, long seed) {
         this.shape = shape;
         this.random = new Random(seed);
         for (int number = 0; number < shape.engines(); number++) {
@@ -146,29 +147,32 @@
         return "data-centre-" + number % shape.dataCentres();
     }
 
-    /** Plays twenty seconds of arrivals to their end. */
-    static Result play(Shape shape, Policy policy, long seed) {
-        EnginePlay play = new EnginePlay(shape, policy, seed);
-        play.arrive();
-        play.run();
-        return new Result(play.millisInAll / play.turns, Math.round(play.read), play.queued / (double) play.turns);
+    /** Simulates twenty seconds of arrivals until all turns have ended. */
+    static Result simulate(Shape shape, Policy policy, long seed) {
+        EngineSimulation simulation = new EngineSimulation(shape, policy, seed);
+        simulation.scheduleArrivals();
+        simulation.run();
+        return new Result(
+                simulation.totalTurnMillis / simulation.turns,
+                Math.round(simulation.read),
+                simulation.queued / (double) simulation.turns);
     }
 
-    private void arrive() {
+    private void scheduleArrivals() {
         double now = 0;
-        for (int program = 0; now < LENGTH_MILLIS; program++) {
+        for (int program = 0; now < ARRIVAL_MILLIS; program++) {
             now += -Math.log(1 - random.nextDouble()) * 1_000 / shape.programsPerSecond();
             Turn first = new Turn();
-            first.line = "line-" + program;
+            first.conversation = "line-" + program;
             first.common = new PrefixPart("common-" + random.nextInt(COMMON_PARTS), shape.commonTokens());
-            first.lineTokens = TURN_TOKENS;
+            first.conversationTokens = TURN_TOKENS;
             first.arrivedMillis = (long) now;
             arrivals.add(first);
         }
     }
 
     private void run() {
-        for (long now = 0; now < 6 * LENGTH_MILLIS; now += TICK_MILLIS) {
+        for (long now = 0; now < 6 * ARRIVAL_MILLIS; now += TICK_MILLIS) {
             while (!arrivals.isEmpty() && arrivals.peek().arrivedMillis <= now) {
                 send(now, arrivals.poll());
             }
@@ -183,13 +187,13 @@
         turn.gateway = gateways.get(random.nextInt(shape.gateways()));
         RoutingRequest request = new RoutingRequest(
                 "llm", Set.of(), turn.prompt(), shape.memoryTokens(), EndpointLimits.inFlight(Integer.MAX_VALUE));
-        turn.choice = turn.gateway.select(now, request).orElseThrow();
-        String id = turn.choice.registration().id();
+        turn.selection = turn.gateway.select(now, request).orElseThrow();
+        String id = turn.selection.registration().id();
         turn.gateway.started(id);
-        turn.gateway.prompted(id, request, turn.choice.uncachedTokens());
+        turn.gateway.prompted(id, request, turn.selection.uncachedTokens());
         turn.sentMillis = now;
-        turn.generated = 16L + random.nextInt((int) MOST_GENERATED);
-        turn.toGenerate = turn.generated;
+        turn.generated = 16L + random.nextInt((int) MAXIMUM_GENERATED);
+        turn.remainingTokens = turn.generated;
         Engine engine = engines.get(Integer.parseInt(id));
         boolean full = engine.running.size() + engine.waiting.size() >= shape.slots();
         boolean othersFree =
@@ -208,12 +212,12 @@
             turn.unread -= tokens;
             left -= tokens / shape.readTokensPerMilli();
         }
-        double tokens = left / (shape.stepMillis() * (1 + CROWDING * engine.running.size()));
+        double tokens = left / (shape.stepMillis() * (1 + SLOWDOWN_PER_REQUEST * engine.running.size()));
         for (Iterator<Turn> each = engine.running.iterator(); each.hasNext(); ) {
             Turn turn = each.next();
             if (turn.unread <= 0 && generate(now, turn, tokens)) {
                 each.remove();
-                ended(now, turn);
+                recordEnd(now, turn);
             }
         }
     }
@@ -221,39 +225,39 @@
     private void admit(Engine engine, Turn turn) {
         turn.unread = engine.memory.uncachedTokens(turn.prompt());
         read += turn.unread;
-        turn.prompt().forEach(part -> engine.memory.hold(part, shape.memoryTokens()));
+        turn.prompt().forEach(part -> engine.memory.add(part, shape.memoryTokens()));
         engine.running.add(turn);
     }
 
     private static boolean generate(long now, Turn turn, double tokens) {
-        if (turn.firstMillis < 0) {
-            turn.firstMillis = now;
-            String id = turn.choice.registration().id();
-            turn.gateway.prefillDone(id, turn.choice.uncachedTokens());
-            turn.gateway.onFirstEvent(id, turn.choice.uncachedTokens(), now - turn.sentMillis + TICK_MILLIS);
+        if (turn.firstEventMillis < 0) {
+            turn.firstEventMillis = now;
+            String id = turn.selection.registration().id();
+            turn.gateway.prefillDone(id, turn.selection.uncachedTokens());
+            turn.gateway.onFirstEvent(id, turn.selection.uncachedTokens(), now - turn.sentMillis + TICK_MILLIS);
         }
-        turn.toGenerate -= tokens;
-        return turn.toGenerate <= 0;
+        turn.remainingTokens -= tokens;
+        return turn.remainingTokens <= 0;
     }
 
-    private void ended(long now, Turn turn) {
-        String id = turn.choice.registration().id();
-        turn.gateway.generated(id, turn.generated, now - turn.firstMillis);
+    private void recordEnd(long now, Turn turn) {
+        String id = turn.selection.registration().id();
+        turn.gateway.generated(id, turn.generated, now - turn.firstEventMillis);
         turn.gateway.finished(now, id, AttemptOutcome.ANSWERED, now - turn.sentMillis);
-        millisInAll += now - turn.arrivedMillis;
+        totalTurnMillis += now - turn.arrivedMillis;
         turns++;
-        if (turn.number + 1 < TURNS) {
+        if (turn.number + 1 < TURNS_PER_PROGRAM) {
             Turn next = new Turn();
             next.number = turn.number + 1;
-            next.line = turn.line;
+            next.conversation = turn.conversation;
             next.common = turn.common;
-            next.lineTokens = turn.lineTokens + turn.generated + TURN_TOKENS;
+            next.conversationTokens = turn.conversationTokens + turn.generated + TURN_TOKENS;
             next.arrivedMillis = now + 20 + random.nextInt(200);
             arrivals.add(next);
         }
     }
 
-    /** Gateways report one after the other, each once in the interval. */
+    /** Spreads the reports of the gateways evenly over the interval. */
     private void report(long now) {
         for (int one = 0; one < shape.gateways(); one++) {
             long offset = one * shape.reportMillis() / shape.gateways();
--- a/core/src/test/java/org/quetzalshunt/core/routing/EvacuationTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/EvacuationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.quetzalshunt.core.policy.Policy;
 
-/** Where requests may go while data centres are evacuated, and where requests with homes may go. */
+/** Endpoint selection while data centres are evacuated, and for requests that are restricted to some data centres. */
 final class EvacuationTest {
     private static final List<String> DATA_CENTRES = List.of("a", "b", "c");
     private static final int PER_DATA_CENTRE = 3;
@@ -39,11 +39,11 @@
         return RoutingRequest.plain("llm", Set.of(), limits);
     }
 
-    private static EndpointLimits homes(Set<String> dataCentres) {
+    private static EndpointLimits restrictedTo(Set<String> dataCentres) {
         return new EndpointLimits(100, Double.POSITIVE_INFINITY, Optional.of(dataCentres));
     }
 
-    /** The data centres that get a burst of requests, none of which ends. */
+    /** Data centres that get the requests of a burst in which no request ends. */
     private Set<String> used(EndpointLimits limits) {
         Set<String> used = new HashSet<>();
         for (int number = 0; number < REQUESTS; number++) {
@@ -66,7 +66,7 @@
 
     @ParameterizedTest
     @MethodSource("evacuations")
-    void evacuatedDataCentreGetsNothing(Set<String> evacuated, Set<String> used, Availability availability) {
+    void evacuatedDataCentreGetsNoWork(Set<String> evacuated, Set<String> used, Availability availability) {
         EndpointLimits anywhere = EndpointLimits.inFlight(100);
         table.setEvacuated(evacuated);
         assertThat(used(anywhere)).isEqualTo(used);
@@ -75,7 +75,7 @@
 
     /** Guards against work for endpoints that register while their data centre is evacuated. */
     @Test
-    void endpointThatRegistersMeanwhileGetsNothing() {
+    void endpointRegisteredDuringEvacuationGetsNoWork() {
         table.setEvacuated(Set.of("b"));
         register("b", PER_DATA_CENTRE);
         register("b", 0);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void workReturnsOnceTheEvacuationIsTakenBack() {
+    void dataCentreGetsWorkAgainAfterItsEvacuationEnds() {
         table.setEvacuated(Set.of("b"));
         table.setEvacuated(Set.of());
         assertThat(used(EndpointLimits.inFlight(100))).containsExactly("a", "b", "c");
@@ -91,12 +91,12 @@
 
     @ParameterizedTest
     @MethodSource("homes")
-    void requestStaysInItsHomes(Set<String> homes, Set<String> evacuated, Availability availability) {
+    void requestStaysInItsAllowedDataCentres(Set<String> allowed, Set<String> evacuated, Availability availability) {
         table.setEvacuated(evacuated);
-        Set<String> used = used(homes(homes));
-        assertThat(homes).containsAtLeastElementsIn(used);
+        Set<String> used = used(restrictedTo(allowed));
+        assertThat(allowed).containsAtLeastElementsIn(used);
         assertThat(used.isEmpty()).isEqualTo(availability != Availability.AVAILABLE);
-        assertThat(table.availability("llm", homes(homes))).isEqualTo(availability);
+        assertThat(table.availability("llm", restrictedTo(allowed))).isEqualTo(availability);
     }
 
     static List<Arguments> homes() {
--- a/core/src/test/java/org/quetzalshunt/core/routing/PrefixLocationsTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/PrefixLocationsTest.java
@@ -15,7 +15,10 @@
 import org.quetzalshunt.core.policy.Mechanism;
 import org.quetzalshunt.core.policy.Policy;
 
-/** Where turns with long common prompts go: at one VM, at several that hear of each other, and at a start of all. */
+/**
+ * Endpoint selection for turns with long common prompts: at one VM, at several VMs that exchange prefix locations, and
+ * at a simultaneous start.
+ */
 final class PrefixLocationsTest {
     private static final int ENGINES = 6;
     private static final long MEMORY_TOKENS = 1_000_000;
@@ -34,7 +37,7 @@
     }
 
     @BeforeEach
-    void engineSpeedsAreKnown() {
+    void recordEngineSpeeds() {
         for (EndpointTable table : List.of(first, second)) {
             for (int number = 0; number < ENGINES; number++) {
                 table.onFirstEvent("e" + number, 12_000, 80);
@@ -52,48 +55,52 @@
     }
 
     private static String send(EndpointTable table, RoutingRequest request) {
-        Selection choice = table.select(0, request).orElseThrow();
-        String id = choice.registration().id();
+        Selection selection = table.select(0, request).orElseThrow();
+        String id = selection.registration().id();
         table.started(id);
-        table.prompted(id, request, choice.uncachedTokens());
+        table.prompted(id, request, selection.uncachedTokens());
         return id;
     }
 
     private static String run(EndpointTable table, RoutingRequest request) {
-        long missing = table.select(0, request).orElseThrow().uncachedTokens();
+        long uncached = table.select(0, request).orElseThrow().uncachedTokens();
         String id = send(table, request);
-        table.prefillDone(id, missing);
+        table.prefillDone(id, uncached);
         table.finished(0, id, AttemptOutcome.ANSWERED, 400);
         return id;
     }
 
     /**
-     * A program's turns arrive through another VM each time, on a route that keeps no history. Without word of where the
-     * first ran, the second is read anew elsewhere, with the whole prompt of the program, and holds up all that runs there.
+     * Guards against turns that leave their cached prompt because each one arrives through another VM, on a route
+     * without history. Without the prefix location of the first turn, the whole prompt would be prefilled again at
+     * another engine and stall all requests there.
      */
     @Test
     void turnFollowsItsProgramThroughAnotherVm() {
-        String ran = send(first, turn("line", 2_000));
-        first.finished(0, ran, AttemptOutcome.ANSWERED, 400);
+        String endpoint = send(first, turn("line", 2_000));
+        first.finished(0, endpoint, AttemptOutcome.ANSWERED, 400);
         second.onPeerPrefixes(first.takeNewLocations());
 
-        assertThat(send(second, turn("line", 3_500))).isEqualTo(ran);
+        assertThat(send(second, turn("line", 3_500))).isEqualTo(endpoint);
     }
 
     @Test
-    void subAgentFollowsTheProgramWhosePromptItGoesOnFrom() {
-        String ran = send(first, turn("line", 2_000));
+    void subAgentRunsWhereItsParentPromptIsCached() {
+        String endpoint = send(first, turn("line", 2_000));
         PrefixPart parent = new PrefixPart("line", 2_000);
 
         assertThat(send(first, routingRequest(List.of(COMMON, parent, new PrefixPart("helper", 800)))))
-                .isEqualTo(ran);
+                .isEqualTo(endpoint);
     }
 
-    /** Slow and fast runs alike must not make a turn leave its prompt: their mean is noise, not the engine's speed. */
+    /**
+     * Guards against leaving a cached prompt because of random slow and fast answers, whose average is noise and not
+     * the speed of an engine.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void oddRunsDoNotDrawATurnAwayFromItsPrompt(long seed) {
-        String ran = send(first, turn("line", 2_000));
+    void noisyAnswerTimesDoNotMoveATurnAwayFromItsCachedPrompt(long seed) {
+        String endpoint = send(first, turn("line", 2_000));
         Random random = new Random(seed);
         for (int run = 0; run < 200; run++) {
             String id = "e" + random.nextInt(ENGINES);
@@ -103,48 +110,49 @@
             first.finished(run, id, AttemptOutcome.ANSWERED, (long) (tokens * 1.6));
         }
 
-        assertThat(send(first, turn("line", 3_000))).isEqualTo(ran);
+        assertThat(send(first, turn("line", 3_000))).isEqualTo(endpoint);
     }
 
     /**
-     * All VMs begin at once, and each has callers with the same common prompt. Each would have it read at an engine of its
-     * own choice, so that six engines read it in the first instant where one or two would do.
+     * Guards against the prefill of a common prompt at six engines where one or two would do. It happens when all VMs
+     * start at once and each one chooses an engine by itself.
      */
     @Test
-    void coldStartReadsACommonPartAtOneEndpoint() {
-        Set<String> readAt = new HashSet<>();
+    void simultaneousStartPrefillsACommonPartAtOneEndpoint() {
+        Set<String> prefilledAt = new HashSet<>();
         for (int vm = 0; vm < 8; vm++) {
-            readAt.add(send(table(vm, Policy.whole()), turn("line-" + vm, 1_000)));
+            prefilledAt.add(send(table(vm, Policy.whole()), turn("line-" + vm, 1_000)));
         }
-        assertThat(readAt).hasSize(1);
+        assertThat(prefilledAt).hasSize(1);
     }
 
     /**
-     * All VMs are killed and start again; the engines live on. Every line of turns would go to an engine that does not hold
-     * it, all at once, and the first seconds after a kill were spent reading: turns took a second and more.
+     * Guards against conversations that are sent to other engines after all VMs restart while the engines keep running.
+     * The first seconds would be spent on prefill, and turns would take more than a second.
      */
     @Test
-    void linesFindTheirEnginesAgainAfterAllVmsWereKilled() {
+    void conversationsReturnToTheirEnginesAfterAllVmsRestart() {
         EndpointTable restarted = table(1_000_000, Policy.whole());
         for (int number = 0; number < ENGINES; number++) {
             RoutingRequest warmUp = routingRequest(List.of(COMMON));
             first.prompted("e" + number, warmUp, 0);
         }
-        int same = 0;
+        int unchanged = 0;
         for (int line = 0; line < 60; line++) {
             String before = run(first, turn("line-" + line, 4_000));
             String after = run(restarted, turn("line-" + line, 5_000));
-            same += before.equals(after) ? 1 : 0;
+            unchanged += before.equals(after) ? 1 : 0;
         }
-        assertThat(same).isAtLeast(48);
+        assertThat(unchanged).isAtLeast(48);
     }
 
     /**
-     * Engines are replaced, and a new one holds nothing. Idle as it looks, it drew a third of all turns in its first second,
-     * each with a long prompt to read, and all of them took three times as long as elsewhere.
+     * Guards against overloading a new engine with an empty cache. It looks idle and would attract a third of all turns
+     * in its first second, each with a long prompt to prefill, and these turns would take three times as long as
+     * elsewhere.
      */
     @Test
-    void emptyEndpointIsNotSentMoreThanItCanRead() {
+    void emptyEndpointIsNotOverloadedWithPrefill() {
         for (int part = 0; part < 16; part++) {
             for (int number = 1; number < ENGINES; number++) {
                 first.prompted("e" + number, routingRequest(List.of(new PrefixPart("common-" + part, 12_600))), 0);
@@ -165,11 +173,11 @@
     }
 
     /**
-     * On routes without history each turn looks like a first one. An account at its rate had its programs' later turns
-     * refused as if they began new ones.
+     * Guards against refusing the later turns of a program as if they began new programs when an account has reached
+     * its rate limit. On routes without history only the prompt tells the two apart.
      */
     @Test
-    void laterTurnIsToldFromAFirstOneByItsPrompt() {
+    void laterTurnIsDistinguishedFromAFirstTurnByItsPrompt() {
         assertThat(first.mayCache(0, "llm", turn("line", 1_000).prompt())).isFalse();
         send(first, turn("line", 1_000));
         assertThat(first.mayCache(0, "llm", turn("line", 2_000).prompt())).isTrue();
@@ -179,9 +187,12 @@
                 .isTrue();
     }
 
-    /** One common part alone must not gather the work of all at one engine: crowded enough, others read it too. */
+    /**
+     * Guards against all requests with one common part running on a single engine: when it is crowded, others prefill
+     * the part too.
+     */
     @Test
-    void crowdedHomeIsRelieved() {
+    void crowdedPrefixHolderSharesItsWork() {
         List<String> sent = new ArrayList<>();
         for (int request = 0; request < 120; request++) {
             sent.add(send(first, turn("line-" + request, 1_000)));
@@ -189,12 +200,15 @@
         assertThat(new HashSet<>(sent)).hasSize(ENGINES);
     }
 
-    /** Memory for a few prompts only: what was sent long ago is gone there, and must not draw a turn to a busy engine. */
+    /**
+     * Guards against turns that wait for a busy engine which evicted their prompt long ago, when its cache holds only a
+     * few prompts.
+     */
     @Test
-    void smallMemoryForgetsTheLeastRecentPrompt() {
+    void fullCacheEvictsTheLeastRecentlyUsedPrompt() {
         PrefixCache memory = new PrefixCache();
         for (int number = 0; number < 10; number++) {
-            memory.hold(new PrefixPart("p" + number, 10_000), 50_000);
+            memory.add(new PrefixPart("p" + number, 10_000), 50_000);
         }
         assertThat(memory.uncachedTokens(List.of(new PrefixPart("p9", 11_000)))).isEqualTo(1_000);
         assertThat(memory.uncachedTokens(List.of(new PrefixPart("p4", 10_000)))).isEqualTo(10_000);
@@ -203,9 +217,9 @@
     }
 
     @Test
-    void restartedEndpointHoldsNothing() {
-        String ran = send(first, turn("line", 2_000));
-        first.registered(0, new Registration(ran, "llm", "10.0.0.9:80", "a", 48, false, 0, 2));
+    void restartedEndpointHasAnEmptyCache() {
+        String endpoint = send(first, turn("line", 2_000));
+        first.registered(0, new Registration(endpoint, "llm", "10.0.0.9:80", "a", 48, false, 0, 2));
 
         assertThat(first.select(0, turn("line", 2_000)).orElseThrow().uncachedTokens())
                 .isEqualTo(14_600);
@@ -215,13 +229,13 @@
     @EnumSource(
             value = Mechanism.class,
             names = {"PREFIX_AFFINITY", "SHARED_PREFIX_LOCATIONS"})
-    void withoutTheMechanismTheSecondVmKnowsOfNothing(Mechanism mechanism) {
+    void secondVmLearnsNoLocationsWithoutTheMechanism(Mechanism mechanism) {
         EndpointTable plain = table(1, Policy.without(List.of(mechanism)));
         send(plain, turn("line", 2_000));
         second.onPeerPrefixes(plain.takeNewLocations());
 
-        Selection choice = second.select(0, turn("line", 2_000)).orElseThrow();
+        Selection selection = second.select(0, turn("line", 2_000)).orElseThrow();
 
-        assertThat(choice.uncachedTokens()).isEqualTo(mechanism == Mechanism.SHARED_PREFIX_LOCATIONS ? 14_600 : 0);
+        assertThat(selection.uncachedTokens()).isEqualTo(mechanism == Mechanism.SHARED_PREFIX_LOCATIONS ? 14_600 : 0);
     }
 }
