--- a/core/src/main/java/org/quetzalshunt/core/decision/CachePlaces.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/CachePlaces.java
@@ -4,57 +4,57 @@
 import java.util.Optional;
 import org.agrona.collections.Object2ObjectHashMap;
 
-/** Table of programs and the endpoint that ran the last turn of each. */
+/** Locations of cached prompt prefixes: for each program, the endpoint that ran its last turn. */
 final class CachePlaces {
     /**
-     * Idle time after which a row goes, against growth by programs whose end was lost. Longer than the longest tool
-     * pause, ten minutes.
+     * Idle time after which a location is removed, so that programs whose end was not reported do not fill the table.
+     * It is longer than the longest tool pause, ten minutes.
      */
     static final long IDLE_MILLIS = 1_800_000;
 
     /**
-     * Part of a prefix that is still counted on beyond the endpoint's horizon. Answers caches that are too small for
-     * the load: with nothing counted on, a program goes anywhere and loses the chance that its prefix survived; with
-     * all of it, it waits for an endpoint that has forgotten it.
+     * Part of a prefix that counts as cached after the endpoint has probably evicted it. This matters when the caches
+     * are too small for the load. With no part, a program runs anywhere and loses the chance that its prefix is still
+     * cached; with the whole prefix, it waits for an endpoint that has evicted it.
      */
-    static final double DOUBTED_PART = 0.25;
+    static final double EVICTED_PREFIX_PART = 0.25;
 
     /**
-     * Where a prefix is.
+     * Location of a prefix.
      *
      * @param endpoint endpoint that ran the last turn
      * @param tokens prompt and answer of that turn
-     * @param mark tokens placed on the endpoint until then
+     * @param placedTokens tokens added to the cache of the endpoint up to the end of the turn
      * @param placedMillis when the turn ended
      */
-    record Place(String endpoint, long tokens, double mark, long placedMillis) {
-        /** The same place when it has probably been evicted. */
-        Place doubted() {
-            return new Place(endpoint, Math.round(tokens * DOUBTED_PART), mark, placedMillis);
+    record Location(String endpoint, long tokens, double placedTokens, long placedMillis) {
+        /** The same location with fewer tokens, for a prefix that has probably been evicted. */
+        Location withProbableEviction() {
+            return new Location(endpoint, Math.round(tokens * EVICTED_PREFIX_PART), placedTokens, placedMillis);
         }
     }
 
-    private final Map<String, Place> places = new Object2ObjectHashMap<>();
+    private final Map<String, Location> locations = new Object2ObjectHashMap<>();
 
-    void put(String cacheKey, Place place) {
+    void put(String cacheKey, Location location) {
         if (!cacheKey.isEmpty()) {
-            places.put(cacheKey, place);
+            locations.put(cacheKey, location);
         }
     }
 
-    Optional<Place> find(String cacheKey) {
-        return cacheKey.isEmpty() ? Optional.empty() : Optional.ofNullable(places.get(cacheKey));
+    Optional<Location> find(String cacheKey) {
+        return cacheKey.isEmpty() ? Optional.empty() : Optional.ofNullable(locations.get(cacheKey));
     }
 
-    void forget(String cacheKey) {
-        places.remove(cacheKey);
+    void remove(String cacheKey) {
+        locations.remove(cacheKey);
     }
 
-    void forgetEndpoint(String endpoint) {
-        places.values().removeIf(place -> place.endpoint().equals(endpoint));
+    void removeEndpoint(String endpoint) {
+        locations.values().removeIf(location -> location.endpoint().equals(endpoint));
     }
 
-    void sweep(long nowMillis) {
-        places.values().removeIf(place -> nowMillis - place.placedMillis() > IDLE_MILLIS);
+    void removeIdle(long nowMillis) {
+        locations.values().removeIf(location -> nowMillis - location.placedMillis() > IDLE_MILLIS);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/Dispatch.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/Dispatch.java
@@ -1,10 +1,10 @@
 package org.quetzalshunt.core.decision;
 
 /**
- * A request that starts now.
+ * A request to send to an endpoint now.
  *
  * @param item the request
- * @param endpoint where it goes
- * @param priority for the engine's own queue; a lower number goes first
+ * @param endpoint name of the endpoint
+ * @param priority priority in the engine's own queue; a lower number goes first
  */
 public record Dispatch(WorkItem item, String endpoint, int priority) {}
--- a/core/src/main/java/org/quetzalshunt/core/decision/EndpointState.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/EndpointState.java
@@ -1,17 +1,17 @@
 package org.quetzalshunt.core.decision;
 
 /**
- * What an endpoint said of itself, some time ago.
+ * The last state that an endpoint reported.
  *
- * @param name unique over all services
+ * @param name name, unique across all services
  * @param service service that it serves
- * @param dataCentre where it is
- * @param slots requests that it runs at once; zero or less when it does not say
- * @param running requests that it ran, from all entries
- * @param waiting requests that waited inside it, from all entries
- * @param tokensPerSecond output tokens it delivered in its last second; zero when it does not say
- * @param asOfMillis when that was, on the clock of the receiving entry
- * @param leaving whether it takes no new work because its VM goes
+ * @param dataCentre data centre that it runs in
+ * @param slots number of requests that it runs concurrently; zero or less if it does not report it
+ * @param running requests running, from all entries
+ * @param waiting requests in the queue of the endpoint itself, from all entries
+ * @param tokensPerSecond output tokens delivered in its last second; zero if it does not report it
+ * @param asOfMillis time of the report on the clock of the receiving entry
+ * @param leaving whether it accepts no new work because its VM is shutting down
  * @param healthy whether its sidecar can reach it
  */
 public record EndpointState(
--- a/core/src/main/java/org/quetzalshunt/core/decision/Expired.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/Expired.java
@@ -3,9 +3,9 @@
 import org.quetzalshunt.core.result.Refusal;
 
 /**
- * A request that left the queue unserved. It never reached an endpoint, so its refusal truly says "not run".
+ * A request that was removed from the queue without being sent to an endpoint, so that its refusal can state "not run".
  *
  * @param item the request
- * @param refusal what its caller hears
+ * @param refusal the refusal that its caller receives
  */
 public record Expired(WorkItem item, Refusal refusal) {}
--- a/core/src/main/java/org/quetzalshunt/core/decision/Finish.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/Finish.java
@@ -1,14 +1,14 @@
 package org.quetzalshunt.core.decision;
 
 /**
- * The end of one attempt.
+ * Result of one attempt.
  *
- * @param kind how it ended
- * @param promptTokens whole prompt
- * @param cachedTokens part of the prompt that the engine found in its cache
+ * @param kind how the attempt ended
+ * @param promptTokens tokens of the whole prompt
+ * @param cachedTokens tokens of the prompt that were in the cache of the engine
  * @param outputTokens tokens delivered
- * @param timeToFirstTokenMillis from dispatch to the first token; zero when none came
- * @param durationMillis from dispatch to the end
+ * @param timeToFirstTokenMillis time from dispatch to the first token; zero if there was none
+ * @param durationMillis time from dispatch to the end
  */
 public record Finish(
         FinishKind kind,
@@ -18,19 +18,19 @@
         long timeToFirstTokenMillis,
         long durationMillis) {
 
-    /** A whole answer. */
+    /** Result of an attempt with a complete answer. */
     public static Finish ok(
             long promptTokens, long cachedTokens, long outputTokens, long timeToFirstTokenMillis, long durationMillis) {
         return new Finish(
                 FinishKind.OK, promptTokens, cachedTokens, outputTokens, timeToFirstTokenMillis, durationMillis);
     }
 
-    /** An attempt that the endpoint failed. */
+    /** Result of an attempt that failed because of the endpoint. */
     public static Finish endpointFailed(long outputTokens, long durationMillis) {
         return new Finish(FinishKind.ENDPOINT_FAILED, 0, 0, outputTokens, 0, durationMillis);
     }
 
-    /** An attempt that nobody waits for any more. */
+    /** Result of an attempt that was cancelled because its caller no longer waits for it. */
     public static Finish cancelled(long outputTokens, long durationMillis) {
         return new Finish(FinishKind.CANCELLED, 0, 0, outputTokens, 0, durationMillis);
     }
--- a/core/src/main/java/org/quetzalshunt/core/decision/FinishKind.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/FinishKind.java
@@ -1,11 +1,11 @@
 package org.quetzalshunt.core.decision;
 
-/** How an attempt ended, as far as load decisions care. */
+/** How an attempt ended, as input to load decisions. */
 public enum FinishKind {
-    /** The answer came whole. */
+    /** The answer was complete. */
     OK,
-    /** The endpoint died, stalled or answered with an error of its own. */
+    /** The endpoint crashed, stalled or returned an error of its own. */
     ENDPOINT_FAILED,
-    /** The caller went away or the deadline passed; says nothing about the endpoint. */
+    /** The caller disconnected or the deadline passed; this says nothing about the endpoint. */
     CANCELLED
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/Policy.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/Policy.java
@@ -11,15 +11,15 @@
 import org.quetzalshunt.core.decision.queue.WorkCharge;
 
 /**
- * The rules that a scheduler follows, each a function, so that a baseline or a test can replace one and keep the rest.
+ * The rules of a scheduler. Each rule is a function, so that a baseline or a test can replace one and keep the rest.
  *
- * @param name for tables of results
- * @param charge what accounts are charged
- * @param order order inside an account
- * @param begun whether a program counts as begun, by turn and attained tokens joined as turn + attained
- * @param choice makes the choice of an endpoint, given the entry's data centre; called once for each service
- * @param rules what keeps an endpoint's room
- * @param admission what is refused before it waits
+ * @param name name of the policy in result tables
+ * @param charge amount charged to a client account for work
+ * @param order order of the requests inside an account
+ * @param begun whether a program is in progress, given the sum of the turn and the attained tokens
+ * @param choice creates the endpoint choice for the data centre of the entry; called once for each service
+ * @param rules rules for the capacity of an endpoint
+ * @param admission rule for refusing requests before they are queued
  */
 public record Policy(
         String name,
@@ -30,7 +30,7 @@
         EndpointRules rules,
         AdmissionRule admission) {
 
-    /** The policy in force. */
+    /** The policy used in production. */
     public static Policy standard() {
         return new Policy(
                 "quetzalshunt",
@@ -42,17 +42,17 @@
                 AdmissionRule.beforeDeadline());
     }
 
-    /** First come first served, endpoints in turn. */
+    /** Baseline: first come, first served, with endpoints in round-robin order. */
     public static Policy roundRobin() {
         return plain("round-robin", dataCentre -> PlainChoices.roundRobin());
     }
 
-    /** First come first served, to the endpoint with the fewest requests. */
+    /** Baseline: first come, first served, at the endpoint with the fewest requests. */
     public static Policy leastLoaded() {
         return plain("least-loaded", dataCentre -> PlainChoices.leastLoaded());
     }
 
-    /** First come first served, always to the endpoint of the program's last turn. */
+    /** Baseline: first come, first served, always at the endpoint of the program's last turn. */
     public static Policy affinityOnly() {
         return plain("affinity-only", dataCentre -> PlainChoices.affinityOnly());
     }
@@ -68,37 +68,37 @@
                 AdmissionRule.everything());
     }
 
-    /** The same under another name. */
+    /** Returns a copy with another name. */
     public Policy named(String newName) {
         return new Policy(newName, charge, order, begun, choice, rules, admission);
     }
 
-    /** The same with another charge. */
+    /** Returns a copy with another charge. */
     public Policy withCharge(WorkCharge newCharge) {
         return new Policy(name, newCharge, order, begun, choice, rules, admission);
     }
 
-    /** The same with another order. */
+    /** Returns a copy with another order. */
     public Policy withOrder(QueueOrder newOrder) {
         return new Policy(name, charge, newOrder, begun, choice, rules, admission);
     }
 
-    /** The same with another view of which programs have begun. */
+    /** Returns a copy with another condition for programs in progress. */
     public Policy withBegun(LongPredicate newBegun) {
         return new Policy(name, charge, order, newBegun, choice, rules, admission);
     }
 
-    /** The same with another choice. */
+    /** Returns a copy with another endpoint choice. */
     public Policy withChoice(Function<String, EndpointChoice> newChoice) {
         return new Policy(name, charge, order, begun, newChoice, rules, admission);
     }
 
-    /** The same with other rules for endpoints. */
+    /** Returns a copy with other endpoint rules. */
     public Policy withRules(EndpointRules newRules) {
         return new Policy(name, charge, order, begun, choice, newRules, admission);
     }
 
-    /** The same with another admission. */
+    /** Returns a copy with another admission rule. */
     public Policy withAdmission(AdmissionRule newAdmission) {
         return new Policy(name, charge, order, begun, choice, rules, newAdmission);
     }
--- a/core/src/main/java/org/quetzalshunt/core/decision/RunningItem.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/RunningItem.java
@@ -1,44 +1,44 @@
 package org.quetzalshunt.core.decision;
 
-import org.quetzalshunt.core.decision.endpoint.EndpointEntry;
+import org.quetzalshunt.core.decision.endpoint.TrackedEndpoint;
 import org.quetzalshunt.core.decision.queue.WorkCost;
 
-/** Row of a running request, with what its account was charged so far. */
+/** A running request and the work that its account has been charged for it so far. */
 final class RunningItem {
     private final WorkItem item;
-    private final EndpointEntry endpoint;
-    private final long believedCachedTokens;
+    private final TrackedEndpoint endpoint;
+    private final long expectedCachedTokens;
     private long chargedTokens;
 
-    private RunningItem(WorkItem item, EndpointEntry endpoint, long believedCachedTokens) {
+    private RunningItem(WorkItem item, TrackedEndpoint endpoint, long expectedCachedTokens) {
         this.item = item;
         this.endpoint = endpoint;
-        this.believedCachedTokens = believedCachedTokens;
-        this.chargedTokens = WorkCost.expected(item, believedCachedTokens);
+        this.expectedCachedTokens = expectedCachedTokens;
+        this.chargedTokens = WorkCost.expected(item, expectedCachedTokens);
     }
 
-    static RunningItem of(WorkItem item, EndpointEntry endpoint, long believedCachedTokens) {
-        return new RunningItem(item, endpoint, believedCachedTokens);
+    static RunningItem of(WorkItem item, TrackedEndpoint endpoint, long expectedCachedTokens) {
+        return new RunningItem(item, endpoint, expectedCachedTokens);
     }
 
     WorkItem item() {
         return item;
     }
 
-    EndpointEntry endpoint() {
+    TrackedEndpoint endpoint() {
         return endpoint;
     }
 
-    long believedCachedTokens() {
-        return believedCachedTokens;
+    long expectedCachedTokens() {
+        return expectedCachedTokens;
     }
 
     long chargedTokens() {
         return chargedTokens;
     }
 
-    /** Moves the charge to a new total and says by how much it changed. */
-    long recharge(long totalTokens) {
+    /** Sets the charge to a new total and returns the difference. */
+    long adjustCharge(long totalTokens) {
         long change = totalTokens - chargedTokens;
         chargedTokens = totalTokens;
         return change;
--- a/core/src/main/java/org/quetzalshunt/core/decision/Scheduler.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/Scheduler.java
@@ -7,28 +7,28 @@
 import java.util.SplittableRandom;
 import org.agrona.collections.Long2ObjectHashMap;
 import org.agrona.collections.Object2ObjectHashMap;
-import org.quetzalshunt.core.decision.endpoint.EndpointEntry;
+import org.quetzalshunt.core.decision.endpoint.TrackedEndpoint;
 import org.quetzalshunt.core.decision.retry.RetryDelay;
 import org.quetzalshunt.core.result.Refusal;
 
 /**
- * Facade: everything that decides under load for one entry. Not thread-safe; one thread owns it.
+ * Facade of the scheduling decisions of one entry. Not thread-safe; one thread owns it.
  *
- * <p>Requests come in by {@link #offer}, start by {@link #tick}, leave unserved by {@link #expire} or {@link
- * #withdraw}, and end by {@link #finished}.
+ * <p>Requests are added by {@link #offer} and started by {@link #tick}. They end by {@link #finished}, or leave the
+ * queue without running by {@link #expire} or {@link #withdraw}.
  */
 public final class Scheduler {
-    /** How often rows of programs that were lost sight of are looked for; the sweep is a scan over all programs. */
+    /** Interval at which idle programs are removed from the tables. Each removal scans all programs. */
     private static final long SWEEP_MILLIS = 60_000;
 
     private final SchedulerSettings settings;
     private final SplittableRandom random;
-    private final CachePlaces caches = new CachePlaces();
+    private final CachePlaces prefixLocations = new CachePlaces();
     private final Map<String, ServiceLoad> services = new Object2ObjectHashMap<>();
     private final List<ServiceLoad> serviceList = new ArrayList<>();
     private final Map<String, String> serviceOfEndpoint = new Object2ObjectHashMap<>();
     private final Long2ObjectHashMap<RunningItem> running = new Long2ObjectHashMap<>();
-    private long sweptMillis;
+    private long lastSweepMillis;
     private int entries;
 
     private Scheduler(SchedulerSettings settings) {
@@ -37,38 +37,38 @@
         this.random = new SplittableRandom(settings.seed());
     }
 
-    /** Starts with no endpoints and nothing queued. */
+    /** Creates a scheduler without endpoints or queued requests. */
     public static Scheduler create(SchedulerSettings settings) {
         return new Scheduler(settings);
     }
 
-    /** Takes in what an endpoint said; the first report of a name adds the endpoint. */
+    /** Updates the state of an endpoint; the first report of a name adds the endpoint. */
     public void endpointReported(long nowMillis, EndpointState state) {
         String before = serviceOfEndpoint.put(state.name(), state.service());
         if (before != null && !before.equals(state.service())) {
             service(before).endpoints().remove(state.name());
         }
-        service(state.service()).endpoints().reported(nowMillis, state);
+        service(state.service()).endpoints().recordReport(nowMillis, state);
     }
 
-    /** Forgets an endpoint; requests that run there still end through {@link #finished}. */
+    /** Removes an endpoint; requests that run there still end through {@link #finished}. */
     public void endpointRemoved(String endpoint) {
         String service = serviceOfEndpoint.remove(endpoint);
         if (service == null) {
             return;
         }
         service(service).endpoints().remove(endpoint);
-        caches.forgetEndpoint(endpoint);
+        prefixLocations.removeEndpoint(endpoint);
     }
 
     /**
-     * Changes how many entries share the endpoints, this one included, as the list of VMs says. Answers entries that
-     * come and go: with too low a number each takes another's part of every endpoint, with too high a one room idles.
+     * Sets the number of entries that share the endpoints, this one included, from the list of VMs. With too low a
+     * number each entry uses part of the capacity of the others, with too high a number capacity stays idle.
      */
     public void entriesChanged(int newEntries) {
         entries = Math.max(1, newEntries);
         for (ServiceLoad service : serviceList) {
-            service.endpoints().shareAmong(entries);
+            service.endpoints().setEntries(entries);
         }
     }
 
@@ -77,24 +77,25 @@
     }
 
     private ServiceLoad addService(String name) {
-        ServiceLoad service = ServiceLoad.create(settings, caches, random.split());
-        service.endpoints().shareAmong(entries);
+        ServiceLoad service = ServiceLoad.create(settings, prefixLocations, random.split());
+        service.endpoints().setEntries(entries);
         serviceList.add(service);
         return service;
     }
 
     /**
-     * Offers a request.
+     * Adds a request to the queue.
      *
-     * @param queueLimit waiting requests that its account may have here; zero or less for the settings' limit
-     * @return empty when the request now waits; otherwise why it was refused, always "not run"
+     * @param queueLimit maximum number of queued requests of its account at this entry; zero or less for the limit in
+     *     the settings
+     * @return empty if the request was queued, otherwise the refusal, which always states "not run"
      */
     public Optional<Refusal> offer(long nowMillis, WorkItem item, int queueLimit) {
         int limit = queueLimit > 0 ? queueLimit : settings.queueLimitPerAccount();
         return service(item.service()).offer(nowMillis, item, limit);
     }
 
-    /** Takes back a request whose caller went away; false when it does not wait here. */
+    /** Removes a queued request whose caller disconnected; false if it is not queued here. */
     public boolean withdraw(long id) {
         for (ServiceLoad service : serviceList) {
             if (service.withdraw(id)) {
@@ -104,12 +105,12 @@
         return false;
     }
 
-    /** Decides what starts now. */
+    /** Selects the requests to start now. */
     public List<Dispatch> tick(long nowMillis) {
         sweep(nowMillis);
         List<Dispatch> dispatches = null;
         for (ServiceLoad service : serviceList) {
-            service.endpoints().passTime(nowMillis);
+            service.endpoints().refreshAll(nowMillis);
             if (service.queue().queued() == 0) {
                 continue;
             }
@@ -120,17 +121,17 @@
     }
 
     private void sweep(long nowMillis) {
-        if (nowMillis - sweptMillis < SWEEP_MILLIS) {
+        if (nowMillis - lastSweepMillis < SWEEP_MILLIS) {
             return;
         }
-        sweptMillis = nowMillis;
-        caches.sweep(nowMillis);
+        lastSweepMillis = nowMillis;
+        prefixLocations.removeIdle(nowMillis);
         for (ServiceLoad service : serviceList) {
-            service.programs().sweep(nowMillis);
+            service.programs().removeIdle(nowMillis);
         }
     }
 
-    /** Takes out requests whose deadline passed, or can no longer be met, while they waited. */
+    /** Removes queued requests whose deadline has passed or can no longer be met. */
     public List<Expired> expire(long nowMillis) {
         List<Expired> expired = new ArrayList<>();
         for (ServiceLoad service : serviceList) {
@@ -139,7 +140,7 @@
         return expired;
     }
 
-    /** Corrects the expected work of a running request by what it delivered so far. */
+    /** Corrects the charge of a running request by the output that it has delivered so far. */
     public void progressed(long nowMillis, long id, long outputTokens) {
         RunningItem row = running.get(id);
         if (row != null) {
@@ -147,7 +148,7 @@
         }
     }
 
-    /** Ends an attempt; an id that does not run here is ignored, since ends can come twice. */
+    /** Ends an attempt. An unknown id is ignored, since the end of an attempt can be reported twice. */
     public void finished(long nowMillis, long id, Finish finish) {
         RunningItem row = running.remove(id);
         if (row != null) {
@@ -155,30 +156,30 @@
         }
     }
 
-    /** Forgets where a program's prefix is, because the program ended or its cache was freed. */
+    /** Removes the location of a program's prefix, because the program ended or its cache was freed. */
     public void cacheForgotten(String cacheKey) {
-        caches.forget(cacheKey);
+        prefixLocations.remove(cacheKey);
         for (ServiceLoad service : serviceList) {
-            service.programs().forget(cacheKey);
+            service.programs().remove(cacheKey);
         }
     }
 
-    /** The endpoint that ran the program's last turn and may still hold its prefix. */
+    /** The endpoint that ran the program's last turn and may still have its prefix in its cache. */
     public Optional<String> cachedAt(String cacheKey) {
-        return caches.find(cacheKey).map(CachePlaces.Place::endpoint);
+        return prefixLocations.find(cacheKey).map(CachePlaces.Location::endpoint);
     }
 
     /** Takes one retry from the service's budget; false when the budget is spent. */
     public boolean mayRetry(long nowMillis, String service) {
-        return service(service).retries().take(nowMillis);
+        return service(service).retries().tryTake(nowMillis);
     }
 
-    /** How long to wait before the next attempt of a request that failed so often; jittered from the seed. */
+    /** Delay before the next attempt of a request, with random jitter from the seed. */
     public long retryDelayMillis(int attemptsBefore) {
         return RetryDelay.millis(attemptsBefore, random);
     }
 
-    /** Requests that wait here. */
+    /** Number of queued requests. */
     public int queued() {
         int queued = 0;
         for (ServiceLoad service : serviceList) {
@@ -187,7 +188,7 @@
         return queued;
     }
 
-    /** Requests that run for this entry. */
+    /** Number of requests that this entry has running. */
     public int running() {
         return running.size();
     }
@@ -203,13 +204,13 @@
     public List<EndpointView> endpoints() {
         List<EndpointView> views = new ArrayList<>();
         for (ServiceLoad service : serviceList) {
-            for (EndpointEntry entry : service.endpoints().all()) {
+            for (TrackedEndpoint endpoint : service.endpoints().all()) {
                 views.add(new EndpointView(
-                        entry.name(),
-                        entry.state().service(),
-                        (int) entry.limit(),
-                        entry.inFlight(),
-                        entry.failures().ejected()));
+                        endpoint.name(),
+                        endpoint.state().service(),
+                        (int) endpoint.limit(),
+                        endpoint.inFlight(),
+                        endpoint.failures().ejected()));
             }
         }
         return views;
--- a/core/src/main/java/org/quetzalshunt/core/decision/SchedulerSettings.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/SchedulerSettings.java
@@ -1,23 +1,23 @@
 package org.quetzalshunt.core.decision;
 
 /**
- * What a scheduler must know about its surroundings.
+ * Settings of a scheduler.
  *
  * @param dataCentre data centre of this entry
- * @param entries entries that share the endpoints, this one included
- * @param seed seed of every random choice
- * @param queueLimitPerAccount waiting requests of one account where the caller of offer names no limit
- * @param policy rules to follow
+ * @param entries number of entries that share the endpoints, this one included
+ * @param seed seed of all random choices
+ * @param queueLimitPerAccount maximum number of queued requests of one account, unless the caller of offer sets a limit
+ * @param policy rules of the scheduler
  */
 public record SchedulerSettings(String dataCentre, int entries, long seed, int queueLimitPerAccount, Policy policy) {
     private static final int DEFAULT_QUEUE_LIMIT = 256;
 
-    /** Settings with the usual queue limit and the policy in force. */
+    /** Creates settings with the default queue limit and the production policy. */
     public static SchedulerSettings of(String dataCentre, int entries, long seed) {
         return new SchedulerSettings(dataCentre, Math.max(1, entries), seed, DEFAULT_QUEUE_LIMIT, Policy.standard());
     }
 
-    /** The same with another policy. */
+    /** Returns a copy with another policy. */
     public SchedulerSettings withPolicy(Policy newPolicy) {
         return new SchedulerSettings(dataCentre, entries, seed, queueLimitPerAccount, newPolicy);
     }
--- a/core/src/main/java/org/quetzalshunt/core/decision/ServiceLoad.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/ServiceLoad.java
@@ -12,9 +12,9 @@
 import org.quetzalshunt.core.decision.admission.DrainRate;
 import org.quetzalshunt.core.decision.admission.Forecast;
 import org.quetzalshunt.core.decision.endpoint.EndpointChoice;
-import org.quetzalshunt.core.decision.endpoint.EndpointEntry;
 import org.quetzalshunt.core.decision.endpoint.PlacementRequest;
 import org.quetzalshunt.core.decision.endpoint.ServiceEndpoints;
+import org.quetzalshunt.core.decision.endpoint.TrackedEndpoint;
 import org.quetzalshunt.core.decision.endpoint.Urgency;
 import org.quetzalshunt.core.decision.queue.AccountQueue;
 import org.quetzalshunt.core.decision.queue.FairQueue;
@@ -26,40 +26,40 @@
 import org.quetzalshunt.core.result.Refusal;
 import org.quetzalshunt.core.result.ResultCode;
 
-/** One service: its queue, its endpoints, and the systems that run over both each tick. */
+/** Scheduling state of one service: its queue, its endpoints, its retry budget and the rules that apply to them. */
 final class ServiceLoad {
     /**
-     * Waiting after which a new program may use the room kept for programs in progress. Answers a long saturation by
-     * later turns, which would otherwise shut new programs out for good. Five seconds: several answers long, so that
-     * a burst of later turns still goes first, and a twelfth of the usual deadline.
+     * Queueing time after which a new program may use the capacity reserved for programs in progress. During a long
+     * saturation, later turns would otherwise keep new programs out for good. Five seconds are several answers long, so
+     * that a burst of later turns still goes first, and a twelfth of the usual deadline.
      */
-    static final long NEW_PROGRAM_PATIENCE_MILLIS = 5_000;
+    static final long AGED_PROGRAM_WAIT_MILLIS = 5_000;
 
-    private static final Comparator<GiveUp> BY_TIME = Comparator.comparingLong(GiveUp::atMillis);
+    private static final Comparator<Expiry> BY_EXPIRY_TIME = Comparator.comparingLong(Expiry::atMillis);
 
-    private record GiveUp(WaitingItem waiting, long atMillis) {}
+    private record Expiry(WaitingItem waiting, long atMillis) {}
 
     private final Policy policy;
     private final FairQueue queue;
     private final ServiceEndpoints endpoints;
     private final EndpointChoice choice;
     private final ProgramTable programs = ProgramTable.create();
-    private final CachePlaces caches;
+    private final CachePlaces prefixLocations;
     private final DrainRate drain = DrainRate.create();
     private final RetryBudget retries = RetryBudget.create();
     private final Long2ObjectHashMap<WaitingItem> waitingById = new Long2ObjectHashMap<>();
-    private final PriorityQueue<GiveUp> giveUps = new PriorityQueue<>(BY_TIME);
+    private final PriorityQueue<Expiry> expiries = new PriorityQueue<>(BY_EXPIRY_TIME);
 
-    private ServiceLoad(SchedulerSettings settings, CachePlaces caches, SplittableRandom random) {
+    private ServiceLoad(SchedulerSettings settings, CachePlaces prefixLocations, SplittableRandom random) {
         this.policy = settings.policy();
         this.queue = FairQueue.create(policy.order(), policy.charge(), programs);
         this.endpoints = ServiceEndpoints.create(policy.rules(), settings.entries(), random);
         this.choice = policy.choice().apply(settings.dataCentre());
-        this.caches = caches;
+        this.prefixLocations = prefixLocations;
     }
 
-    static ServiceLoad create(SchedulerSettings settings, CachePlaces caches, SplittableRandom random) {
-        return new ServiceLoad(settings, caches, random);
+    static ServiceLoad create(SchedulerSettings settings, CachePlaces prefixLocations, SplittableRandom random) {
+        return new ServiceLoad(settings, prefixLocations, random);
     }
 
     ServiceEndpoints endpoints() {
@@ -80,48 +80,48 @@
 
     Optional<Refusal> offer(long nowMillis, WorkItem item, int queueLimit) {
         AccountQueue account = queue.account(item.clientAccount());
-        boolean continuing = policy.begun().test(item.turn() + programs.attained(item));
-        Forecast forecast = forecast(nowMillis, item, account, continuing);
+        boolean programInProgress = policy.begun().test(item.turn() + programs.attainedTokens(item));
+        Forecast forecast = forecast(nowMillis, item, account, programInProgress);
         if (account.queued() >= queueLimit) {
             return Optional.of(Refusal.notRunRetryAfter(
                     ResultCode.QUEUE_FULL,
                     "the client account has " + queueLimit + " waiting",
-                    AdmissionRule.bounded(forecast.waitMillis() / 2)));
+                    AdmissionRule.boundedRetryMillis(forecast.waitMillis() / 2)));
         }
-        OptionalLong retryAfter = policy.admission().refuse(forecast);
+        OptionalLong retryAfter = policy.admission().retryAfterMillis(forecast);
         if (retryAfter.isPresent()) {
-            return Optional.of(unreachable(retryAfter.getAsLong()));
+            return Optional.of(deadlineUnreachable(retryAfter.getAsLong()));
         }
-        long work = WorkCost.expected(item, believedCached(item));
-        WaitingItem waiting = queue.add(item, work, continuing);
+        long work = WorkCost.expected(item, expectedCachedTokens(item));
+        WaitingItem waiting = queue.add(item, work, programInProgress);
         waitingById.put(item.id(), waiting);
-        giveUps.add(new GiveUp(waiting, item.deadlineMillis() - Math.round(forecast.runMillis())));
-        if (item.attemptsBefore() == 0) {
-            retries.requested();
+        expiries.add(new Expiry(waiting, item.deadlineMillis() - Math.round(forecast.runMillis())));
+        if (item.previousAttempts() == 0) {
+            retries.recordRequest();
         }
         return Optional.empty();
     }
 
-    private static Refusal unreachable(long retryAfterMillis) {
+    private static Refusal deadlineUnreachable(long retryAfterMillis) {
         return Refusal.notRunRetryAfter(
                 ResultCode.DEADLINE_UNREACHABLE, ResultCode.DEADLINE_UNREACHABLE.meaning(), retryAfterMillis);
     }
 
-    private Forecast forecast(long nowMillis, WorkItem item, AccountQueue account, boolean continuing) {
-        double rate = Math.max(drain.perMillis(nowMillis), endpoints.workPerMillis());
-        double share = share(account, item);
-        long ahead = account.workAhead(continuing);
-        double wait = ahead == 0 || rate <= 0 ? 0 : ahead / (rate * share);
-        long left = item.deadlineMillis() - nowMillis;
-        double prefill =
-                (item.promptTokens() - believedCached(item)) / endpoints.speed().prefillPerSecond();
-        double decode = item.expectedOutputTokens() / endpoints.speed().decodePerSecond();
-        // The answer's length is a guess, so it never claims more than half of the time that the caller gave.
-        double run = Math.max(0, Math.min(1_000 * (prefill + decode), left / 2.0));
-        return new Forecast(wait, run, left);
+    private Forecast forecast(long nowMillis, WorkItem item, AccountQueue account, boolean programInProgress) {
+        double workRate = Math.max(drain.workPerMillis(nowMillis), endpoints.workPerMillis());
+        double accountShare = accountShare(account, item);
+        long workAhead = account.workAhead(programInProgress);
+        double waitMillis = workAhead == 0 || workRate <= 0 ? 0 : workAhead / (workRate * accountShare);
+        long timeToDeadlineMillis = item.deadlineMillis() - nowMillis;
+        double prefillSeconds = (item.promptTokens() - expectedCachedTokens(item))
+                / endpoints.speed().prefillPerSecond();
+        double decodeSeconds = item.expectedOutputTokens() / endpoints.speed().decodePerSecond();
+        // The length of the answer is an estimate, so the run time counts for at most half of the time to the deadline.
+        double runMillis = Math.max(0, Math.min(1_000 * (prefillSeconds + decodeSeconds), timeToDeadlineMillis / 2.0));
+        return new Forecast(waitMillis, runMillis, timeToDeadlineMillis);
     }
 
-    private double share(AccountQueue account, WorkItem item) {
+    private double accountShare(AccountQueue account, WorkItem item) {
         double all = 0;
         for (AccountQueue other : queue.accounts()) {
             if (other.queued() > 0 && other != account) {
@@ -132,14 +132,16 @@
         return own / (all + own);
     }
 
-    private long believedCached(WorkItem item) {
-        return place(item).map(CachePlaces.Place::tokens).orElse(0L);
+    private long expectedCachedTokens(WorkItem item) {
+        return location(item).map(CachePlaces.Location::tokens).orElse(0L);
     }
 
-    private Optional<CachePlaces.Place> place(WorkItem item) {
-        return caches.find(item.cacheKey()).flatMap(place -> endpoints
-                .find(place.endpoint())
-                .map(entry -> entry.horizon().believes(place.mark()) ? place : place.doubted()));
+    private Optional<CachePlaces.Location> location(WorkItem item) {
+        return prefixLocations.find(item.cacheKey()).flatMap(location -> endpoints
+                .find(location.endpoint())
+                .map(endpoint -> endpoint.horizon().isLikelyCached(location.placedTokens())
+                        ? location
+                        : location.withProbableEviction()));
     }
 
     boolean withdraw(long id) {
@@ -153,7 +155,8 @@
 
     void dispatch(long nowMillis, List<Dispatch> dispatches, Long2ObjectHashMap<RunningItem> running) {
         while (queue.queued() > 0) {
-            Optional<FairQueue.Placed<EndpointEntry>> next = queue.next(waiting -> choose(nowMillis, waiting));
+            Optional<FairQueue.Placed<TrackedEndpoint>> next =
+                    queue.next(waiting -> chooseEndpoint(nowMillis, waiting));
             if (next.isEmpty()) {
                 return;
             }
@@ -161,57 +164,57 @@
         }
     }
 
-    private Optional<EndpointEntry> choose(long nowMillis, WaitingItem waiting) {
+    private Optional<TrackedEndpoint> chooseEndpoint(long nowMillis, WaitingItem waiting) {
         WorkItem item = waiting.item();
-        Optional<CachePlaces.Place> place = place(item);
+        Optional<CachePlaces.Location> location = location(item);
         PlacementRequest request = new PlacementRequest(
                 nowMillis,
                 item,
                 urgency(nowMillis, waiting),
-                place.flatMap(found -> endpoints.find(found.endpoint())),
-                place.map(CachePlaces.Place::tokens).orElse(0L));
+                location.flatMap(found -> endpoints.find(found.endpoint())),
+                location.map(CachePlaces.Location::tokens).orElse(0L));
         return choice.choose(request, endpoints);
     }
 
     private Urgency urgency(long nowMillis, WaitingItem waiting) {
-        if (queue.underserved(waiting.item().clientAccount())) {
+        if (queue.isUnderserved(waiting.item().clientAccount())) {
             return Urgency.UNDERSERVED;
         }
-        if (waiting.continuing()) {
+        if (waiting.isProgramInProgress()) {
             return Urgency.LATER_TURN;
         }
-        boolean aged = nowMillis - waiting.item().arrivedMillis() >= NEW_PROGRAM_PATIENCE_MILLIS;
+        boolean aged = nowMillis - waiting.item().arrivedMillis() >= AGED_PROGRAM_WAIT_MILLIS;
         return aged ? Urgency.AGED_PROGRAM : Urgency.NEW_PROGRAM;
     }
 
     private void start(
             long nowMillis,
-            FairQueue.Placed<EndpointEntry> placed,
+            FairQueue.Placed<TrackedEndpoint> placed,
             List<Dispatch> dispatches,
             Long2ObjectHashMap<RunningItem> running) {
         WaitingItem waiting = placed.waiting();
         WorkItem item = waiting.item();
-        EndpointEntry endpoint = placed.place();
+        TrackedEndpoint endpoint = placed.target();
         withdraw(item.id());
-        long cached = place(item)
-                .filter(place -> place.endpoint().equals(endpoint.name()))
-                .map(place -> Math.min(place.tokens(), item.promptTokens()))
+        long cached = location(item)
+                .filter(location -> location.endpoint().equals(endpoint.name()))
+                .map(location -> Math.min(location.tokens(), item.promptTokens()))
                 .orElse(0L);
         RunningItem row = RunningItem.of(item, endpoint, cached);
-        long headStart = policy.order().key(item, programs.attained(item)) - item.arrivedMillis();
-        int priority = (int) (headStart / QueueOrder.LEVEL_MILLIS) + (waiting.continuing() ? 0 : 1);
+        long headStart = policy.order().key(item, programs.attainedTokens(item)) - item.arrivedMillis();
+        int priority = (int) (headStart / QueueOrder.LEVEL_MILLIS) + (waiting.isProgramInProgress() ? 0 : 1);
         queue.charge(nowMillis, item, row.chargedTokens(), true);
-        queue.started(item);
+        queue.recordStart(item);
         drain.add(nowMillis, row.chargedTokens());
-        endpoints.started(nowMillis, endpoint);
+        endpoints.recordStart(nowMillis, endpoint);
         running.put(item.id(), row);
         dispatches.add(new Dispatch(item, endpoint.name(), priority));
     }
 
     void expire(long nowMillis, List<Expired> expired) {
-        while (!giveUps.isEmpty() && giveUps.peek().atMillis() <= nowMillis) {
-            WaitingItem waiting = giveUps.remove().waiting();
-            if (waiting.removed()) {
+        while (!expiries.isEmpty() && expiries.peek().atMillis() <= nowMillis) {
+            WaitingItem waiting = expiries.remove().waiting();
+            if (waiting.isRemoved()) {
                 continue;
             }
             WorkItem item = waiting.item();
@@ -219,52 +222,53 @@
             boolean passed = item.deadlineMillis() <= nowMillis;
             Refusal refusal = passed
                     ? Refusal.notRun(ResultCode.DEADLINE_PASSED, ResultCode.DEADLINE_PASSED.meaning())
-                    : unreachable(AdmissionRule.bounded(0));
+                    : deadlineUnreachable(AdmissionRule.boundedRetryMillis(0));
             expired.add(new Expired(item, refusal));
         }
     }
 
     void progressed(long nowMillis, RunningItem row, long outputTokens) {
         WorkItem item = row.item();
-        long atLeast = WorkCost.of(item.promptTokens() - row.believedCachedTokens(), outputTokens);
+        long atLeast = WorkCost.of(item.promptTokens() - row.expectedCachedTokens(), outputTokens);
         if (atLeast > row.chargedTokens()) {
-            queue.charge(nowMillis, item, row.recharge(atLeast), false);
+            queue.charge(nowMillis, item, row.adjustCharge(atLeast), false);
         }
     }
 
     void finished(long nowMillis, RunningItem row, Finish finish) {
         WorkItem item = row.item();
-        queue.ended(item);
-        queue.charge(nowMillis, item, row.recharge(workOf(row, finish)), false);
-        EndpointEntry endpoint = row.endpoint();
+        queue.recordEnd(item);
+        queue.charge(nowMillis, item, row.adjustCharge(workOf(row, finish)), false);
+        TrackedEndpoint endpoint = row.endpoint();
         if (finish.kind() == FinishKind.OK) {
-            learnCache(nowMillis, item, endpoint, finish);
+            recordPrefix(nowMillis, item, endpoint, finish);
         }
-        endpoints.ended(nowMillis, endpoint, finish);
+        endpoints.recordEnd(nowMillis, endpoint, finish);
     }
 
     private static long workOf(RunningItem row, Finish finish) {
         return switch (finish.kind()) {
             case OK -> WorkCost.of(finish.promptTokens() - finish.cachedTokens(), finish.outputTokens());
             case CANCELLED ->
-                WorkCost.of(row.item().promptTokens() - row.believedCachedTokens(), finish.outputTokens());
+                WorkCost.of(row.item().promptTokens() - row.expectedCachedTokens(), finish.outputTokens());
             case ENDPOINT_FAILED -> 0;
         };
     }
 
-    private void learnCache(long nowMillis, WorkItem item, EndpointEntry endpoint, Finish finish) {
-        caches.find(item.cacheKey())
-                .filter(place -> place.endpoint().equals(endpoint.name()))
-                .ifPresent(place ->
-                        endpoint.horizon().observed(place.mark(), finish.cachedTokens() * 2 >= place.tokens()));
-        long placed = finish.promptTokens() - finish.cachedTokens() + finish.outputTokens();
-        endpoint.horizon().placed(placed);
-        long held = finish.promptTokens() + finish.outputTokens();
+    private void recordPrefix(long nowMillis, WorkItem item, TrackedEndpoint endpoint, Finish finish) {
+        prefixLocations
+                .find(item.cacheKey())
+                .filter(location -> location.endpoint().equals(endpoint.name()))
+                .ifPresent(location -> endpoint.horizon()
+                        .recordLookup(location.placedTokens(), finish.cachedTokens() * 2 >= location.tokens()));
+        long addedTokens = finish.promptTokens() - finish.cachedTokens() + finish.outputTokens();
+        endpoint.horizon().recordPlaced(addedTokens);
+        long prefixTokens = finish.promptTokens() + finish.outputTokens();
         if (finish.promptTokens() > 0) {
-            caches.put(
+            prefixLocations.put(
                     item.cacheKey(),
-                    new CachePlaces.Place(
-                            endpoint.name(), held, endpoint.horizon().placedTokens(), nowMillis));
+                    new CachePlaces.Location(
+                            endpoint.name(), prefixTokens, endpoint.horizon().placedTokens(), nowMillis));
         }
     }
 
--- a/core/src/main/java/org/quetzalshunt/core/decision/WorkItem.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/WorkItem.java
@@ -1,21 +1,21 @@
 package org.quetzalshunt.core.decision;
 
 /**
- * A request that waits or runs at the owner of its program's shard.
+ * A request that is queued or running at the entry that owns its program's shard.
  *
- * @param id unique at this entry
- * @param service service that the request names
- * @param clientAccount account whose key came with the request
+ * @param id id, unique at this entry
+ * @param service service that the request is for
+ * @param clientAccount account of the API key of the request
  * @param weight share of the account under contention, above zero
- * @param program root program, so that sub-agents count with their root
- * @param cacheKey program whose prefix an engine may hold; empty for none
+ * @param program root program, so that sub-agents count as part of their root
+ * @param cacheKey program whose prefix an engine may have cached; empty for none
  * @param turn turn within its program, from zero
- * @param promptTokens whole prompt, cached or not; zero for a plain service
- * @param expectedOutputTokens expected answer; one for a plain service
- * @param arrivedMillis when the request came, on the clock that the caller of the scheduler passes in
- * @param deadlineMillis when its last byte must be out, on the same clock
- * @param attemptsBefore attempts that ended without an answer
- * @param avoidEndpoint endpoint that failed it, or empty
+ * @param promptTokens tokens of the whole prompt, cached or not; zero for a service without prompts
+ * @param expectedOutputTokens expected tokens of the answer; one for a service without prompts
+ * @param arrivedMillis arrival time on the clock that the caller of the scheduler passes in
+ * @param deadlineMillis time by which the last byte must be sent, on the same clock
+ * @param previousAttempts number of attempts that ended without an answer
+ * @param avoidEndpoint endpoint where an attempt failed, or empty
  */
 public record WorkItem(
         long id,
@@ -29,5 +29,5 @@
         long expectedOutputTokens,
         long arrivedMillis,
         long deadlineMillis,
-        int attemptsBefore,
+        int previousAttempts,
         String avoidEndpoint) {}
--- a/core/src/main/java/org/quetzalshunt/core/decision/admission/AdmissionRule.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/admission/AdmissionRule.java
@@ -2,41 +2,41 @@
 
 import java.util.OptionalLong;
 
-/** Whether a request is refused before it waits. */
+/** Decides whether a request is refused before it is queued. */
 @FunctionalInterface
 public interface AdmissionRule {
+    /** Minimum retry delay for a refused caller. Below a second, handling the refusal costs more than it saves. */
+    long MINIMUM_RETRY_MILLIS = 1_000;
+
     /**
-     * Shortest and longest time that a refused caller is asked to stay away. Below a second a refusal costs more than
-     * it spares; beyond half a minute the queue has turned over and the forecast says nothing.
+     * Maximum retry delay for a refused caller. After half a minute the queue has changed completely, and the forecast
+     * says nothing about it.
      */
-    long SHORTEST_RETRY_MILLIS = 1_000;
-
-    /** See {@link #SHORTEST_RETRY_MILLIS}. */
-    long LONGEST_RETRY_MILLIS = 30_000;
+    long MAXIMUM_RETRY_MILLIS = 30_000;
 
-    /** When to come back; empty when the request is let in. */
-    OptionalLong refuse(Forecast forecast);
+    /** Returns the time after which a refused caller may retry; empty if the request is admitted. */
+    OptionalLong retryAfterMillis(Forecast forecast);
 
     /**
-     * Refuses what cannot start in time to end by its deadline. Answers a standing overload: without it each request
-     * waits until its deadline and fails then, its caller has waited for nothing, and what does start has no time
-     * left. A request that has to wait for nothing is let in however long it looks, since its length is a guess.
+     * Refuses requests that cannot start early enough to meet their deadline. In a lasting overload, each request would
+     * otherwise wait until its deadline and then fail, and the requests that do start would have no time left. A
+     * request that does not have to wait is always admitted, because its run time is only an estimate.
      */
     static AdmissionRule beforeDeadline() {
         return forecast -> {
-            double late = forecast.waitMillis() + forecast.runMillis() - forecast.leftMillis();
-            boolean waits = forecast.waitMillis() > SHORTEST_RETRY_MILLIS;
-            return waits && late > 0 ? OptionalLong.of(bounded(late)) : OptionalLong.empty();
+            double lateMillis = forecast.waitMillis() + forecast.runMillis() - forecast.timeToDeadlineMillis();
+            boolean waits = forecast.waitMillis() > MINIMUM_RETRY_MILLIS;
+            return waits && lateMillis > 0 ? OptionalLong.of(boundedRetryMillis(lateMillis)) : OptionalLong.empty();
         };
     }
 
-    /** Lets everything in. */
+    /** Admits every request. */
     static AdmissionRule everything() {
         return forecast -> OptionalLong.empty();
     }
 
-    /** A time to stay away, within bounds. */
-    static long bounded(double millis) {
-        return Math.round(Math.max(SHORTEST_RETRY_MILLIS, Math.min(LONGEST_RETRY_MILLIS, millis)));
+    /** Limits a retry delay to the allowed range. */
+    static long boundedRetryMillis(double millis) {
+        return Math.round(Math.max(MINIMUM_RETRY_MILLIS, Math.min(MAXIMUM_RETRY_MILLIS, millis)));
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/admission/DrainRate.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/admission/DrainRate.java
@@ -1,10 +1,13 @@
 package org.quetzalshunt.core.decision.admission;
 
-/** Work that a service started from this entry over the last seconds, in tokens of work per millisecond. */
+/**
+ * Rate at which requests of a service leave the queue of this entry to start, in tokens of work per millisecond over
+ * the last seconds.
+ */
 public final class DrainRate {
     private static final int BUCKETS = 10;
 
-    /** Ten seconds in all: several answers long, and short enough to follow the loss of an endpoint. */
+    /** Ten seconds in total: several answers long, yet short enough to reflect the loss of an endpoint. */
     private static final long BUCKET_MILLIS = 1_000;
 
     private final long[] work = new long[BUCKETS];
@@ -12,19 +15,19 @@
 
     private DrainRate() {}
 
-    /** A rate without samples. */
+    /** Creates a rate without samples. */
     public static DrainRate create() {
         return new DrainRate();
     }
 
-    /** Counts work that started. */
+    /** Records work that started. */
     public void add(long nowMillis, long tokensOfWork) {
         advance(nowMillis);
         work[Math.floorMod(bucket, BUCKETS)] += tokensOfWork;
     }
 
-    /** Mean over the last seconds. */
-    public double perMillis(long nowMillis) {
+    /** Returns the mean over the last seconds. */
+    public double workPerMillis(long nowMillis) {
         advance(nowMillis);
         long sum = 0;
         for (long value : work) {
@@ -34,11 +37,11 @@
     }
 
     private void advance(long nowMillis) {
-        long present = Math.floorDiv(nowMillis, BUCKET_MILLIS);
-        long from = Math.max(bucket + 1, present - BUCKETS + 1);
-        for (long index = from; index <= present; index++) {
+        long currentBucket = Math.floorDiv(nowMillis, BUCKET_MILLIS);
+        long from = Math.max(bucket + 1, currentBucket - BUCKETS + 1);
+        for (long index = from; index <= currentBucket; index++) {
             work[Math.floorMod(index, BUCKETS)] = 0;
         }
-        bucket = Math.max(bucket, present);
+        bucket = Math.max(bucket, currentBucket);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/admission/Forecast.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/admission/Forecast.java
@@ -1,10 +1,10 @@
 package org.quetzalshunt.core.decision.admission;
 
 /**
- * What a request must expect if it is queued now.
+ * Expected times of a request if it is queued now.
  *
- * @param waitMillis until it starts
- * @param runMillis from its start to its last byte
- * @param leftMillis until its deadline
+ * @param waitMillis time until it starts
+ * @param runMillis time from its start to its last byte
+ * @param timeToDeadlineMillis time until its deadline
  */
-public record Forecast(double waitMillis, double runMillis, long leftMillis) {}
+public record Forecast(double waitMillis, double runMillis, long timeToDeadlineMillis) {}
--- a/core/src/main/java/org/quetzalshunt/core/decision/admission/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/admission/package-info.java
@@ -1,2 +1,2 @@
-/** What is let in: the wait that a request must expect, and the refusal of what cannot meet its deadline. */
+/** Admission control: estimates the queueing time of a request and refuses requests that cannot meet their deadline. */
 package org.quetzalshunt.core.decision.admission;
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/CacheHorizon.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/CacheHorizon.java
@@ -1,53 +1,73 @@
 package org.quetzalshunt.core.decision.endpoint;
 
 /**
- * How much work an endpoint can take before it has evicted a prefix, learnt from hits and misses.
+ * Estimates from cache hits and misses how many tokens can be added to the prefix cache of an endpoint before a given
+ * prefix is evicted.
  *
- * <p>Answers cache thrash and long tool pauses: engines evict the prefix that was used longest ago and say so late
- * or never, so "it was there" goes stale. Without it programs wait for an endpoint that has long forgotten them. The
- * horizon is measured in tokens that this entry placed there since, which follows the load by itself.
+ * <p>Engines evict the least recently used prefix and report this late or not at all, so the location of a prefix
+ * becomes stale under cache thrashing and during long tool pauses. Without the estimate, programs would wait for an
+ * endpoint that has evicted their prefix. The horizon is measured in tokens that this entry has added since, so that it
+ * adapts to the load.
  */
 public final class CacheHorizon {
-    /** Horizon before the first miss: everything is believed, since a wrong belief costs one miss and corrects it. */
-    private static final double UNBOUNDED = 1e12;
+    /**
+     * Horizon before the first miss: every prefix counts as cached, since a wrong assumption costs a single miss, which
+     * corrects it.
+     */
+    private static final double UNBOUNDED_TOKENS = 1e12;
 
-    /** Smallest horizon: one long prompt, since what was just placed is there. */
-    private static final double SMALLEST = 4_096;
+    /** Minimum horizon: the size of one long prompt, since a prefix that was just added is in the cache. */
+    private static final double MINIMUM_TOKENS = 4_096;
 
-    /** Cut after a miss inside the horizon; a miss shows that the true horizon is below the tokens placed since. */
-    private static final double CUT = 0.9;
+    /**
+     * Factor after a miss inside the horizon; the miss shows that the true horizon is below the number of tokens added
+     * since.
+     */
+    private static final double MISS_FACTOR = 0.9;
 
-    /** Growth after a hit near the edge, so that a horizon cut by one odd eviction comes back in some ten hits. */
-    private static final double GROWTH = 1.1;
+    /**
+     * Factor after a hit near the horizon. A horizon that was reduced because of one untypical eviction recovers within
+     * some ten hits.
+     */
+    private static final double HIT_FACTOR = 1.1;
 
-    private double tokens = UNBOUNDED;
+    private double horizonTokens = UNBOUNDED_TOKENS;
     private double placedTokens;
 
     CacheHorizon() {}
 
-    /** Tokens placed on the endpoint so far. */
+    /** Returns the number of tokens added to the cache of the endpoint so far. */
     public double placedTokens() {
         return placedTokens;
     }
 
-    /** Whether a prefix placed at that mark is believed to be there still. */
-    public boolean believes(double mark) {
-        return placedTokens - mark <= tokens;
+    /**
+     * Whether a prefix is probably still cached.
+     *
+     * @param placedBefore value of {@link #placedTokens} when the prefix was added
+     */
+    public boolean isLikelyCached(double placedBefore) {
+        return placedTokens - placedBefore <= horizonTokens;
     }
 
     /** Counts tokens that an attempt added to the cache. */
-    public void placed(long tokensAdded) {
+    public void recordPlaced(long tokensAdded) {
         placedTokens += tokensAdded;
     }
 
-    /** Learns whether a prefix placed at that mark was still there. */
-    public void observed(double mark, boolean hit) {
-        double since = placedTokens - mark;
-        if (hit && since > tokens / 2) {
-            tokens = Math.max(tokens, since * GROWTH);
+    /**
+     * Updates the horizon with a cache lookup.
+     *
+     * @param placedBefore value of {@link #placedTokens} when the prefix was added
+     * @param hit whether the prefix was still cached
+     */
+    public void recordLookup(double placedBefore, boolean hit) {
+        double since = placedTokens - placedBefore;
+        if (hit && since > horizonTokens / 2) {
+            horizonTokens = Math.max(horizonTokens, since * HIT_FACTOR);
         }
-        if (!hit && since <= tokens) {
-            tokens = Math.max(SMALLEST, since * CUT);
+        if (!hit && since <= horizonTokens) {
+            horizonTokens = Math.max(MINIMUM_TOKENS, since * MISS_FACTOR);
         }
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/EjectionRule.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/EjectionRule.java
@@ -2,50 +2,56 @@
 
 import java.util.OptionalLong;
 
-/** When an endpoint that fails gets nothing for a while. */
+/** Decides when a failing endpoint is ejected, so that it gets no requests for a while. */
 @FunctionalInterface
 public interface EjectionRule {
     /**
-     * Failures in a row that eject. One may be the request's own fault (two endpoints may die of one poisonous
-     * request before it is quarantined), so one and two are not enough; each further one costs a caller a retry.
+     * Consecutive failures that cause an ejection. One or two failures may be caused by the request itself: a request
+     * that crashes engines may do so at two endpoints before it is quarantined. Each further failure costs a caller a
+     * retry.
      */
-    int FAILURES = 3;
+    int CONSECUTIVE_FAILURES = 3;
 
-    /** First ejection; shorter than the restart of an engine, so that a mere stumble costs little. */
-    long FIRST_MILLIS = 5_000;
+    /**
+     * Duration of the first ejection. It is shorter than the restart of an engine, so that a brief fault costs little.
+     */
+    long INITIAL_MILLIS = 5_000;
 
-    /** Longest ejection, by doubling: an endpoint that stays broken costs three failures in this time. */
-    long LONGEST_MILLIS = 80_000;
+    /** Maximum duration, reached by doubling: an endpoint that stays broken costs three failures per period. */
+    long MAXIMUM_MILLIS = 80_000;
 
     /**
-     * Part of a service's endpoints that may be ejected at once. Answers a fault that all share, such as a broken
-     * adapter or a poisonous request sent again and again: ejecting all would turn a partial fault into an outage,
-     * and two thirds can carry the load of a service that runs at 60%.
+     * Part of a service's endpoints that may be ejected at the same time. If all endpoints share a fault, such as a
+     * broken adapter or a request that crashes engines and is sent repeatedly, ejecting all of them would turn a
+     * partial fault into an outage. Two thirds of the endpoints can carry the load of a service that is 60% utilised.
      */
-    double LARGEST_PART = 1.0 / 3;
+    double MAXIMUM_EJECTED_PART = 1.0 / 3;
 
     /**
-     * How long an endpoint that just failed is to be left alone; empty for not at all.
+     * Returns how long an endpoint that just failed is ejected; empty if it is not.
      *
-     * @param failures its failures, the last one included
-     * @param ejectedNow endpoints of its service that are ejected
-     * @param endpoints endpoints of its service
+     * @param failures its failures, including the last one
+     * @param ejectedNow number of endpoints of its service that are ejected
+     * @param endpoints number of endpoints of its service
      */
-    OptionalLong eject(FailureRecord failures, int ejectedNow, int endpoints);
+    OptionalLong ejectionMillis(FailureRecord failures, int ejectedNow, int endpoints);
 
-    /** Consecutive failures, doubling, and never more than a third, but one of two or more. */
+    /**
+     * Ejects after consecutive failures for a time that doubles. At most a third of the endpoints are ejected, but at
+     * least one if there are two or more.
+     */
     static EjectionRule consecutiveFailures() {
         return (failures, ejectedNow, endpoints) -> {
-            int most = endpoints < 2 ? 0 : Math.max(1, (int) (endpoints * LARGEST_PART));
-            if (failures.consecutive() < FAILURES || ejectedNow >= most) {
+            int maximum = endpoints < 2 ? 0 : Math.max(1, (int) (endpoints * MAXIMUM_EJECTED_PART));
+            if (failures.consecutive() < CONSECUTIVE_FAILURES || ejectedNow >= maximum) {
                 return OptionalLong.empty();
             }
-            long millis = FIRST_MILLIS << Math.min(failures.ejections(), Long.SIZE / 4);
-            return OptionalLong.of(Math.min(LONGEST_MILLIS, millis));
+            long millis = INITIAL_MILLIS << Math.min(failures.ejections(), Long.SIZE / 4);
+            return OptionalLong.of(Math.min(MAXIMUM_MILLIS, millis));
         };
     }
 
-    /** Endpoints are used until they say themselves that they are gone. */
+    /** Never ejects: endpoints are used until they report that they shut down. */
     static EjectionRule never() {
         return (failures, ejectedNow, endpoints) -> OptionalLong.empty();
     }
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/EndpointChoice.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/EndpointChoice.java
@@ -5,6 +5,6 @@
 /** Chooses the endpoint of a request. */
 @FunctionalInterface
 public interface EndpointChoice {
-    /** The endpoint that takes the request now; empty when it is better to wait or nothing has room. */
-    Optional<EndpointEntry> choose(PlacementRequest request, ServiceEndpoints endpoints);
+    /** Returns the endpoint for the request; empty if waiting is better or no endpoint has capacity. */
+    Optional<TrackedEndpoint> choose(PlacementRequest request, ServiceEndpoints endpoints);
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/EndpointRules.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/EndpointRules.java
@@ -3,15 +3,15 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * Rules that keep an endpoint's room.
+ * Rules for the capacity of the endpoints.
  *
- * @param limit how the concurrency limit follows what the endpoint delivers
+ * @param limit adapts the concurrency limit to the measured speed
  * @param room part of the limit that a request may use
- * @param ejection when a failing endpoint is left alone
- * @param returnLimit limit of an endpoint that is new or comes back, by its slots
+ * @param ejection decides when a failing endpoint is ejected
+ * @param initialLimit initial limit, by slots, of an endpoint that is new or has recovered
  */
-public record EndpointRules(LimitRule limit, RoomRule room, EjectionRule ejection, IntToDoubleFunction returnLimit) {
-    /** The rules in force. */
+public record EndpointRules(LimitRule limit, RoomRule room, EjectionRule ejection, IntToDoubleFunction initialLimit) {
+    /** The rules used in production. */
     public static EndpointRules adaptive() {
         return new EndpointRules(
                 LimitRule.gradient(),
@@ -20,28 +20,28 @@
                 slots -> ServiceEndpoints.SLOW_START_LIMIT);
     }
 
-    /** No limits and no ejection, as the plain baselines have it. */
+    /** Rules without limits and ejection, for the plain baselines. */
     public static EndpointRules unlimited() {
         return new EndpointRules(LimitRule.slots(), RoomRule.unlimited(), EjectionRule.never(), slots -> slots);
     }
 
-    /** The same with another concurrency limit. */
+    /** Returns a copy with another concurrency limit. */
     public EndpointRules withLimit(LimitRule newLimit) {
-        return new EndpointRules(newLimit, room, ejection, returnLimit);
+        return new EndpointRules(newLimit, room, ejection, initialLimit);
     }
 
-    /** The same with another room. */
+    /** Returns a copy with another room rule. */
     public EndpointRules withRoom(RoomRule newRoom) {
-        return new EndpointRules(limit, newRoom, ejection, returnLimit);
+        return new EndpointRules(limit, newRoom, ejection, initialLimit);
     }
 
-    /** The same with another ejection. */
+    /** Returns a copy with another ejection rule. */
     public EndpointRules withEjection(EjectionRule newEjection) {
-        return new EndpointRules(limit, room, newEjection, returnLimit);
+        return new EndpointRules(limit, room, newEjection, initialLimit);
     }
 
-    /** The same with another limit after a return. */
-    public EndpointRules withReturnLimit(IntToDoubleFunction newReturnLimit) {
-        return new EndpointRules(limit, room, ejection, newReturnLimit);
+    /** Returns a copy with another initial limit. */
+    public EndpointRules withInitialLimit(IntToDoubleFunction newInitialLimit) {
+        return new EndpointRules(limit, room, ejection, newInitialLimit);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/FailureRecord.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/FailureRecord.java
@@ -1,12 +1,12 @@
 package org.quetzalshunt.core.decision.endpoint;
 
 /**
- * Failures of one endpoint.
+ * Failures and ejections of one endpoint.
  *
- * @param consecutive failures since the last whole answer
- * @param ejections ejections since it last stayed well for long
- * @param ejectedUntilMillis when it is tried again; meaningless when not ejected
- * @param ejected whether it gets nothing now
+ * @param consecutive failures since the last complete answer
+ * @param ejections number of ejections so far, which sets the length of the next one
+ * @param ejectedUntilMillis end of the ejection; has no meaning if the endpoint is not ejected
+ * @param ejected whether the endpoint is ejected
  */
 public record FailureRecord(int consecutive, int ejections, long ejectedUntilMillis, boolean ejected) {
     private static final FailureRecord NONE = new FailureRecord(0, 0, 0, false);
@@ -15,11 +15,11 @@
         return NONE;
     }
 
-    FailureRecord failedOnce() {
+    FailureRecord withFailure() {
         return new FailureRecord(consecutive + 1, ejections, ejectedUntilMillis, ejected);
     }
 
-    FailureRecord succeeded() {
+    FailureRecord withSuccess() {
         return new FailureRecord(0, ejections, ejectedUntilMillis, ejected);
     }
 
@@ -27,7 +27,7 @@
         return new FailureRecord(consecutive, ejections + 1, untilMillis, true);
     }
 
-    FailureRecord returned() {
+    FailureRecord readmitted() {
         return new FailureRecord(0, ejections, ejectedUntilMillis, false);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/IndexSet.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/IndexSet.java
@@ -2,28 +2,28 @@
 
 import java.util.Arrays;
 
-/** Set of small integers with constant time for add, remove and a pick by number, so that sampling needs no scan. */
+/** Set of small integers with add, remove and access by position in constant time, so that sampling needs no scan. */
 final class IndexSet {
     private static final int ABSENT = -1;
-    private static final int FIRST_CAPACITY = 16;
+    private static final int INITIAL_CAPACITY = 16;
 
-    private int[] members = new int[FIRST_CAPACITY];
-    private int[] places = new int[0];
+    private int[] members = new int[INITIAL_CAPACITY];
+    private int[] positions = new int[0];
     private int size;
 
     int size() {
         return size;
     }
 
-    int get(int number) {
-        return members[number];
+    int get(int position) {
+        return members[position];
     }
 
     boolean contains(int member) {
-        return member < places.length && places[member] != ABSENT;
+        return member < positions.length && positions[member] != ABSENT;
     }
 
-    void set(int member, boolean present) {
+    void setPresent(int member, boolean present) {
         if (present == contains(member)) {
             return;
         }
@@ -35,23 +35,23 @@
     }
 
     private void add(int member) {
-        if (member >= places.length) {
-            int oldLength = places.length;
-            places = Arrays.copyOf(places, Math.max(FIRST_CAPACITY, 2 * (member + 1)));
-            Arrays.fill(places, oldLength, places.length, ABSENT);
+        if (member >= positions.length) {
+            int oldLength = positions.length;
+            positions = Arrays.copyOf(positions, Math.max(INITIAL_CAPACITY, 2 * (member + 1)));
+            Arrays.fill(positions, oldLength, positions.length, ABSENT);
         }
         if (size == members.length) {
             members = Arrays.copyOf(members, 2 * size);
         }
         members[size] = member;
-        places[member] = size++;
+        positions[member] = size++;
     }
 
     private void remove(int member) {
-        int place = places[member];
+        int position = positions[member];
         int last = members[--size];
-        members[place] = last;
-        places[last] = place;
-        places[member] = ABSENT;
+        members[position] = last;
+        positions[last] = position;
+        positions[member] = ABSENT;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/LimitRule.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/LimitRule.java
@@ -1,59 +1,59 @@
 package org.quetzalshunt.core.decision.endpoint;
 
-/** How an endpoint's concurrency limit follows what it delivers. */
+/** Adapts the concurrency limit of an endpoint to its measured speed. */
 @FunctionalInterface
 public interface LimitRule {
     /**
-     * Slowdown against the unloaded speed that is no reason to lower the limit. Answers the mixture of prompts among
-     * answers, which costs each running answer some speed at any load: with 1.0 the limit sinks under every mixture
-     * until engines idle, with 2.0 a full batch halves everyone's speed before the limit reacts.
+     * Slowdown relative to the unloaded speed that does not lower the limit. Prefill in the same batch slows down the
+     * running answers at any load: with 1.0 the limit would fall under any mixture of requests until engines are idle,
+     * and with 2.0 a full batch would halve the speed of all answers before the limit reacts.
      */
     double TOLERATED_SLOWDOWN = 1.25;
 
     /**
-     * Requests added for each window that shows no slowdown: additive increase, as AIMD has it. A larger step
-     * overshoots the knee by as much, a smaller one takes minutes to use an engine that grew faster.
+     * Requests added to the limit for each window without a slowdown: additive increase as in AIMD. A larger step
+     * overshoots the optimum by as much, a smaller one takes minutes to use an engine that became faster.
      */
     double INCREASE = 1;
 
-    /** Deepest cut of one window, so that one long prompt or one slow answer halves nothing by itself. */
-    double DEEPEST_CUT = 0.8;
+    /** Lowest factor for one window, so that a single long prompt or slow answer does not halve the limit. */
+    double MINIMUM_GRADIENT = 0.8;
 
-    /** Cut after a failure of the endpoint: multiplicative decrease, as AIMD has it. */
-    double FAILURE_CUT = 0.5;
+    /** Factor after a failure of the endpoint: multiplicative decrease as in AIMD. */
+    double FAILURE_FACTOR = 0.5;
 
-    /** Limit below which an endpoint would never get the requests that show its recovery. */
-    double SMALLEST_LIMIT = 2;
+    /** Minimum limit; below it an endpoint would not get the requests that show its recovery. */
+    double MINIMUM_LIMIT = 2;
 
     /**
-     * The next limit.
+     * Returns the next limit.
      *
-     * @param limit present limit, in requests
-     * @param speed speed of one answer over the last window, in tokens per second
-     * @param unloadedSpeed speed of one answer when the endpoint has few
-     * @param used most requests that it had in the window
-     * @param slots requests that it says it can run
+     * @param limit current limit in requests
+     * @param speed speed per answer over the last window, in tokens per second
+     * @param unloadedSpeed speed per answer when the endpoint has few requests
+     * @param peakLoad maximum number of requests in flight during the window
+     * @param slots number of requests that the endpoint reports it can run
      */
-    double next(double limit, double speed, double unloadedSpeed, double used, int slots);
+    double next(double limit, double speed, double unloadedSpeed, double peakLoad, int slots);
 
     /**
-     * Additive increase while answers keep their speed, a cut in proportion to the slowdown when they do not: a
-     * gradient limit in the manner of Netflix's concurrency-limits, on speed per answer in place of round trip time,
-     * since a long answer is no sign of load.
+     * Increases the limit by a constant while answers keep their speed, and reduces it in proportion to the slowdown
+     * otherwise. This is a gradient limit as in Netflix's concurrency-limits, but based on speed per answer instead of
+     * round-trip time, since a long answer is no sign of load.
      */
     static LimitRule gradient() {
-        return (limit, speed, unloadedSpeed, used, slots) -> {
+        return (limit, speed, unloadedSpeed, peakLoad, slots) -> {
             double gradient = TOLERATED_SLOWDOWN * speed / unloadedSpeed;
             if (gradient < 1) {
-                return Math.max(SMALLEST_LIMIT, limit * Math.max(DEEPEST_CUT, gradient));
+                return Math.max(MINIMUM_LIMIT, limit * Math.max(MINIMUM_GRADIENT, gradient));
             }
-            boolean wanted = used >= limit - 1;
-            return wanted ? Math.min(slots, limit + INCREASE) : Math.min(slots, limit);
+            boolean limitReached = peakLoad >= limit - 1;
+            return limitReached ? Math.min(slots, limit + INCREASE) : Math.min(slots, limit);
         };
     }
 
-    /** What the endpoint says it can run, whatever it delivers. */
+    /** Uses the reported slots as the limit, regardless of the measured speed. */
     static LimitRule slots() {
-        return (limit, speed, unloadedSpeed, used, slots) -> slots;
+        return (limit, speed, unloadedSpeed, peakLoad, slots) -> slots;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/PlacementRequest.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/PlacementRequest.java
@@ -4,25 +4,25 @@
 import org.quetzalshunt.core.decision.WorkItem;
 
 /**
- * A request that looks for an endpoint.
+ * A queued request for which an endpoint is chosen.
  *
- * @param nowMillis present time
+ * @param nowMillis current time
  * @param item the request
- * @param urgency what it may claim of an endpoint's room
- * @param cached endpoint that is believed to hold its prefix
- * @param cachedTokens tokens believed to be held there
+ * @param urgency class of the request, which determines the part of an endpoint's limit that it may use
+ * @param prefixHolder endpoint that probably has the prefix in its cache
+ * @param cachedTokens tokens that are probably cached there
  */
 public record PlacementRequest(
-        long nowMillis, WorkItem item, Urgency urgency, Optional<EndpointEntry> cached, long cachedTokens) {
+        long nowMillis, WorkItem item, Urgency urgency, Optional<TrackedEndpoint> prefixHolder, long cachedTokens) {
 
-    /** Tokens of the prompt that an endpoint is believed to hold. */
-    long cachedTokensAt(EndpointEntry entry) {
-        boolean holds = cached.isPresent() && cached.get() == entry;
-        return holds ? Math.min(cachedTokens, item.promptTokens()) : 0;
+    /** Returns the tokens of the prompt that an endpoint probably has in its cache. */
+    long cachedTokensAt(TrackedEndpoint endpoint) {
+        boolean isHolder = prefixHolder.isPresent() && prefixHolder.get() == endpoint;
+        return isHolder ? Math.min(cachedTokens, item.promptTokens()) : 0;
     }
 
-    /** Whether an earlier attempt failed there. */
-    boolean avoids(EndpointEntry entry) {
-        return item.avoidEndpoint().equals(entry.name());
+    /** Whether an earlier attempt failed at an endpoint. */
+    boolean avoids(TrackedEndpoint endpoint) {
+        return item.avoidEndpoint().equals(endpoint.name());
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/PlainChoices.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/PlainChoices.java
@@ -2,38 +2,39 @@
 
 import java.util.Optional;
 
-/** Plain baselines, kept to measure against. They look at every endpoint, and at no limit. */
+/** Baseline choices for comparison. They consider all endpoints and ignore the concurrency limits. */
 public final class PlainChoices {
     private PlainChoices() {}
 
-    /** One after the other. */
+    /** Chooses endpoints in round-robin order. */
     public static EndpointChoice roundRobin() {
-        int[] turn = new int[1];
+        int[] next = new int[1];
         return (request, endpoints) -> {
             int usable = endpoints.usableCount();
-            return usable == 0 ? Optional.empty() : Optional.of(endpoints.usable(turn[0]++ % usable));
+            return usable == 0 ? Optional.empty() : Optional.of(endpoints.usable(next[0]++ % usable));
         };
     }
 
-    /** The one with the fewest requests, by its last report and by what this entry has there. */
+    /** Chooses the endpoint with the fewest requests, from its last report and this entry's requests in flight. */
     public static EndpointChoice leastLoaded() {
         return (request, endpoints) -> {
-            EndpointEntry best = null;
+            TrackedEndpoint best = null;
             for (int number = 0; number < endpoints.usableCount(); number++) {
-                EndpointEntry entry = endpoints.usable(number);
-                if (best == null || entry.load() < best.load()) {
-                    best = entry;
+                TrackedEndpoint endpoint = endpoints.usable(number);
+                if (best == null || endpoint.load() < best.load()) {
+                    best = endpoint;
                 }
             }
             return Optional.ofNullable(best);
         };
     }
 
-    /** The one that ran the program's last turn; for a new program one by the hash of its name. */
+    /** Chooses the endpoint that ran the program's last turn, or for a new program one by the hash of its name. */
     public static EndpointChoice affinityOnly() {
         return (request, endpoints) -> {
-            if (request.cached().isPresent() && request.cached().get().usable()) {
-                return request.cached();
+            if (request.prefixHolder().isPresent()
+                    && request.prefixHolder().get().usable()) {
+                return request.prefixHolder();
             }
             int usable = endpoints.usableCount();
             if (usable == 0) {
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/ServiceEndpoints.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/ServiceEndpoints.java
@@ -13,34 +13,37 @@
 import org.quetzalshunt.core.decision.FinishKind;
 import org.quetzalshunt.core.decision.queue.WorkCost;
 
-/** Table of one service's endpoints, and the systems that keep what each has room for. */
+/** The endpoints of one service, with their limits, failures and ejections, indexed by whether they have capacity. */
 public final class ServiceEndpoints {
     /**
-     * Limit of an endpoint that is new or comes back. Answers a restarted engine: its cache is empty and its
-     * programs come back to it all at once, so each computes its whole history again and all of them crawl. Two
-     * start, and the limit doubles with each round of answers, as in TCP's slow start.
+     * Initial limit of an endpoint that is new or has recovered. After the restart of an engine its cache is empty, and
+     * if all its programs returned at once, each would compute its whole history again and slow down the others. The
+     * limit starts at two and doubles with each round of answers, as in the slow start of TCP.
      */
     static final double SLOW_START_LIMIT = 2;
 
-    /** Time after the first endpoint of a service within which others are not new, only new to this entry. */
+    /**
+     * Time after the first report of a service during which unknown endpoints are assumed to be running already: they
+     * are new only to this entry.
+     */
     static final long ENTRY_START_MILLIS = 10_000;
 
-    /** How often rows are looked at for what time alone changes: ejections that end, reports that grow old. */
+    /** Interval of the refresh for changes that depend on time alone: ejections that end and reports that expire. */
     private static final long REFRESH_MILLIS = 250;
 
     private final EndpointRules rules;
     private int entries;
     private final SplittableRandom random;
-    private final List<EndpointEntry> rows = new ArrayList<>();
-    private final Map<String, EndpointEntry> byName = new Object2ObjectHashMap<>();
+    private final List<TrackedEndpoint> rows = new ArrayList<>();
+    private final Map<String, TrackedEndpoint> byName = new Object2ObjectHashMap<>();
     private final IndexSet usable = new IndexSet();
     private final Map<Urgency, IndexSet> open = new EnumMap<>(Urgency.class);
     private final List<Integer> freePositions = new ArrayList<>();
     private final ServiceSpeed speed = new ServiceSpeed();
     private long firstSeenMillis;
-    private boolean seen;
-    private long refreshedMillis = Long.MIN_VALUE / 2;
-    private int ejected;
+    private boolean reported;
+    private long lastRefreshMillis = Long.MIN_VALUE / 2;
+    private int ejectedCount;
     private double workPerMillis;
 
     private ServiceEndpoints(EndpointRules rules, int entries, SplittableRandom random) {
@@ -52,48 +55,48 @@
         }
     }
 
-    /** An empty table. */
+    /** Creates an empty table. */
     public static ServiceEndpoints create(EndpointRules rules, int entries, SplittableRandom random) {
         return new ServiceEndpoints(rules, entries, random);
     }
 
     /** Finds an endpoint. */
-    public Optional<EndpointEntry> find(String name) {
+    public Optional<TrackedEndpoint> find(String name) {
         return Optional.ofNullable(byName.get(name));
     }
 
-    /** Every endpoint known, usable or not. */
-    public Iterable<EndpointEntry> all() {
+    /** All known endpoints, usable or not. */
+    public Iterable<TrackedEndpoint> all() {
         return byName.values();
     }
 
-    /** Endpoints that take work at all. */
+    /** Number of endpoints that accept work. */
     public int usableCount() {
         return usable.size();
     }
 
-    /** One of the endpoints that take work, by number. */
-    public EndpointEntry usable(int number) {
-        return rows.get(usable.get(number));
+    /** Returns one of the endpoints that accept work, by its position among them. */
+    public TrackedEndpoint usable(int index) {
+        return rows.get(usable.get(index));
     }
 
-    /** Endpoints with room. */
+    /** Number of endpoints with capacity for requests of an urgency. */
     public int openCount(Urgency urgency) {
         return open(urgency).size();
     }
 
-    /** One of the endpoints with room, by number. */
-    public EndpointEntry open(Urgency urgency, int number) {
-        return rows.get(open(urgency).get(number));
+    /** Returns one of the endpoints with capacity for requests of an urgency, by its position among them. */
+    public TrackedEndpoint open(Urgency urgency, int index) {
+        return rows.get(open(urgency).get(index));
     }
 
     private IndexSet open(Urgency urgency) {
         return open.get(urgency);
     }
 
-    /** Whether an endpoint has room for a request. */
-    public boolean isOpen(EndpointEntry entry, PlacementRequest request) {
-        return open(request.urgency()).contains(entry.position());
+    /** Whether an endpoint has capacity for a request. */
+    public boolean hasCapacity(TrackedEndpoint endpoint, PlacementRequest request) {
+        return open(request.urgency()).contains(endpoint.position());
     }
 
     /** Mean speeds of the service. */
@@ -101,151 +104,153 @@
         return speed;
     }
 
-    /** Chance, from the scheduler's seed. */
+    /** Random generator, seeded by the scheduler. */
     public SplittableRandom random() {
         return random;
     }
 
-    /** Work that this entry's even part of the endpoints could do, in tokens of work per millisecond. */
+    /** Estimated throughput of this entry's equal share of the endpoints, in tokens of work per millisecond. */
     public double workPerMillis() {
         return workPerMillis;
     }
 
-    /** Changes how many entries share the endpoints; rows follow within a quarter of a second. */
-    public void shareAmong(int newEntries) {
+    /** Sets the number of entries that share the endpoints; it takes effect within a quarter of a second. */
+    public void setEntries(int newEntries) {
         entries = newEntries;
     }
 
-    /** Takes in a report. */
-    public void reported(long nowMillis, EndpointState state) {
-        if (!seen) {
-            seen = true;
+    /** Updates an endpoint from its report. */
+    public void recordReport(long nowMillis, EndpointState state) {
+        if (!reported) {
+            reported = true;
             firstSeenMillis = nowMillis;
         }
-        EndpointEntry entry = byName.get(state.name());
-        if (entry == null) {
-            entry = add(nowMillis, state);
+        TrackedEndpoint endpoint = byName.get(state.name());
+        if (endpoint == null) {
+            endpoint = add(nowMillis, state);
         }
-        boolean back = state.healthy() && !entry.state().healthy();
-        entry.report(nowMillis, state);
-        if (back) {
-            entry.startSlowly(rules.returnLimit().applyAsDouble(entry.slots()));
+        boolean recovered = state.healthy() && !endpoint.state().healthy();
+        endpoint.recordReport(nowMillis, state);
+        if (recovered) {
+            endpoint.beginSlowStart(rules.initialLimit().applyAsDouble(endpoint.slots()));
         }
-        refresh(nowMillis, entry);
+        refresh(nowMillis, endpoint);
     }
 
-    private EndpointEntry add(long nowMillis, EndpointState state) {
+    private TrackedEndpoint add(long nowMillis, EndpointState state) {
         int position = freePositions.isEmpty() ? rows.size() : freePositions.remove(freePositions.size() - 1);
-        int slots = state.slots() > 0 ? state.slots() : EndpointEntry.DEFAULT_SLOTS;
-        boolean entryStarts = nowMillis - firstSeenMillis <= ENTRY_START_MILLIS;
-        EndpointEntry entry = EndpointEntry.of(position, state, slots);
-        if (!entryStarts) {
-            entry.startSlowly(rules.returnLimit().applyAsDouble(slots));
+        int slots = state.slots() > 0 ? state.slots() : TrackedEndpoint.DEFAULT_SLOTS;
+        boolean entryIsStarting = nowMillis - firstSeenMillis <= ENTRY_START_MILLIS;
+        TrackedEndpoint endpoint = TrackedEndpoint.of(position, state, slots);
+        if (!entryIsStarting) {
+            endpoint.beginSlowStart(rules.initialLimit().applyAsDouble(slots));
         }
         if (position == rows.size()) {
-            rows.add(entry);
+            rows.add(endpoint);
         } else {
-            rows.set(position, entry);
+            rows.set(position, endpoint);
         }
-        byName.put(state.name(), entry);
-        return entry;
+        byName.put(state.name(), endpoint);
+        return endpoint;
     }
 
-    /** Forgets an endpoint. */
+    /** Removes an endpoint. */
     public void remove(String name) {
-        EndpointEntry entry = byName.remove(name);
-        if (entry == null) {
+        TrackedEndpoint endpoint = byName.remove(name);
+        if (endpoint == null) {
             return;
         }
-        if (entry.failures().ejected()) {
-            ejected--;
+        if (endpoint.failures().ejected()) {
+            ejectedCount--;
         }
-        usable.set(entry.position(), false);
-        open.values().forEach(set -> set.set(entry.position(), false));
-        freePositions.add(entry.position());
+        usable.setPresent(endpoint.position(), false);
+        open.values().forEach(set -> set.setPresent(endpoint.position(), false));
+        freePositions.add(endpoint.position());
     }
 
-    /** Counts a request that starts. */
-    public void started(long nowMillis, EndpointEntry entry) {
-        entry.started();
-        refresh(nowMillis, entry);
+    /** Records the start of a request. */
+    public void recordStart(long nowMillis, TrackedEndpoint endpoint) {
+        endpoint.recordStart();
+        refresh(nowMillis, endpoint);
     }
 
-    /** Takes in how an attempt ended. */
-    public void ended(long nowMillis, EndpointEntry entry, Finish finish) {
-        double loadPart = entry.load() / Math.max(1, entry.limit());
-        entry.ended();
+    /** Records the end of an attempt. */
+    public void recordEnd(long nowMillis, TrackedEndpoint endpoint, Finish finish) {
+        double loadPart = endpoint.load() / Math.max(1, endpoint.limit());
+        endpoint.recordEnd();
         if (finish.kind() == FinishKind.OK) {
-            succeeded(nowMillis, entry, finish, loadPart);
+            recordSuccess(nowMillis, endpoint, finish, loadPart);
         }
         if (finish.kind() == FinishKind.ENDPOINT_FAILED) {
-            failed(nowMillis, entry);
+            recordFailure(nowMillis, endpoint);
         }
-        refresh(nowMillis, entry);
+        refresh(nowMillis, endpoint);
     }
 
-    private void succeeded(long nowMillis, EndpointEntry entry, Finish finish, double loadPart) {
-        entry.setFailures(entry.failures().succeeded());
-        if (entry.slowStart()) {
-            entry.setLimit(Math.min(entry.slots(), entry.limit() + 1));
+    private void recordSuccess(long nowMillis, TrackedEndpoint endpoint, Finish finish, double loadPart) {
+        endpoint.setFailures(endpoint.failures().withSuccess());
+        if (endpoint.isSlowStart()) {
+            endpoint.setLimit(Math.min(endpoint.slots(), endpoint.limit() + 1));
         }
-        if (!entry.speeds().add(nowMillis, finish, loadPart, speed)) {
+        if (!endpoint.speeds().add(nowMillis, finish, loadPart, speed)) {
             return;
         }
-        double before = entry.limit();
-        double window = entry.speeds().takeWindow();
-        double unloaded = Math.max(1e-9, entry.speeds().unloaded());
-        entry.setLimit(rules.limit().next(entry.limit(), window, unloaded, entry.takePeak(), entry.slots()));
-        if (entry.limit() < before || entry.limit() >= entry.slots()) {
-            entry.endSlowStart();
+        double previousLimit = endpoint.limit();
+        double windowMean = endpoint.speeds().takeWindowMean();
+        double unloaded = Math.max(1e-9, endpoint.speeds().unloaded());
+        endpoint.setLimit(
+                rules.limit().next(endpoint.limit(), windowMean, unloaded, endpoint.takePeakLoad(), endpoint.slots()));
+        if (endpoint.limit() < previousLimit || endpoint.limit() >= endpoint.slots()) {
+            endpoint.endSlowStart();
         }
     }
 
-    private void failed(long nowMillis, EndpointEntry entry) {
-        entry.setFailures(entry.failures().failedOnce());
-        entry.setLimit(Math.max(LimitRule.SMALLEST_LIMIT, entry.limit() * LimitRule.FAILURE_CUT));
-        if (entry.failures().ejected()) {
+    private void recordFailure(long nowMillis, TrackedEndpoint endpoint) {
+        endpoint.setFailures(endpoint.failures().withFailure());
+        endpoint.setLimit(Math.max(LimitRule.MINIMUM_LIMIT, endpoint.limit() * LimitRule.FAILURE_FACTOR));
+        if (endpoint.failures().ejected()) {
             return;
         }
-        OptionalLong millis = rules.ejection().eject(entry.failures(), ejected, byName.size());
+        OptionalLong millis = rules.ejection().ejectionMillis(endpoint.failures(), ejectedCount, byName.size());
         if (millis.isPresent()) {
-            entry.setFailures(entry.failures().ejectedUntil(nowMillis + millis.getAsLong()));
-            ejected++;
+            endpoint.setFailures(endpoint.failures().ejectedUntil(nowMillis + millis.getAsLong()));
+            ejectedCount++;
         }
     }
 
-    /** Does what time alone brings; cheap when called again within a quarter of a second. */
-    public void passTime(long nowMillis) {
-        if (nowMillis - refreshedMillis < REFRESH_MILLIS) {
+    /** Applies the changes that depend on time alone, at most once in a quarter of a second. */
+    public void refreshAll(long nowMillis) {
+        if (nowMillis - lastRefreshMillis < REFRESH_MILLIS) {
             return;
         }
-        refreshedMillis = nowMillis;
+        lastRefreshMillis = nowMillis;
         workPerMillis = 0;
-        for (EndpointEntry entry : byName.values()) {
-            if (entry.failures().ejected() && nowMillis >= entry.failures().ejectedUntilMillis()) {
-                entry.setFailures(entry.failures().returned());
-                entry.startSlowly(rules.returnLimit().applyAsDouble(entry.slots()));
-                ejected--;
+        for (TrackedEndpoint endpoint : byName.values()) {
+            if (endpoint.failures().ejected()
+                    && nowMillis >= endpoint.failures().ejectedUntilMillis()) {
+                endpoint.setFailures(endpoint.failures().readmitted());
+                endpoint.beginSlowStart(rules.initialLimit().applyAsDouble(endpoint.slots()));
+                ejectedCount--;
             }
-            refresh(nowMillis, entry);
-            if (entry.usable()) {
+            refresh(nowMillis, endpoint);
+            if (endpoint.usable()) {
                 workPerMillis += WorkCost.OUTPUT_TOKEN_COST
-                        * entry.limit()
-                        * entry.speeds().decodePerSecond(nowMillis, speed)
+                        * endpoint.limit()
+                        * endpoint.speeds().decodePerSecond(nowMillis, speed)
                         / 1_000
                         / entries;
             }
         }
     }
 
-    private void refresh(long nowMillis, EndpointEntry entry) {
-        if (byName.get(entry.name()) != entry) {
+    private void refresh(long nowMillis, TrackedEndpoint endpoint) {
+        if (byName.get(endpoint.name()) != endpoint) {
             return;
         }
-        usable.set(entry.position(), entry.usable());
+        usable.setPresent(endpoint.position(), endpoint.usable());
         for (Map.Entry<Urgency, IndexSet> set : open.entrySet()) {
             double part = rules.room().part(set.getKey());
-            set.getValue().set(entry.position(), entry.hasRoom(nowMillis, part, entries));
+            set.getValue().setPresent(endpoint.position(), endpoint.hasCapacity(nowMillis, part, entries));
         }
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/SpeedRecord.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/SpeedRecord.java
@@ -2,21 +2,29 @@
 
 import org.quetzalshunt.core.decision.Finish;
 
-/** Speed of one endpoint, per answer, as whole answers showed it. */
+/** Speeds of one endpoint, measured on complete answers. */
 public final class SpeedRecord {
-    /** Answers in one window of the concurrency limit: enough to smooth one odd answer, few enough for seconds. */
+    /**
+     * Answers per window of the concurrency limit: enough to smooth out one untypical answer, yet few enough for a
+     * window of seconds.
+     */
     static final int WINDOW = 8;
 
-    /** Shortest answer whose decoding speed means anything: below it the clock's millisecond is a tenth of it. */
-    private static final long SHORTEST_ANSWER_TOKENS = 8;
+    /**
+     * Minimum length of an answer to measure the decoding speed; for shorter ones the clock resolution of a millisecond is a tenth of the measured time.
+     */
+    private static final long MINIMUM_ANSWER_TOKENS = 8;
 
-    /** Shortest uncached prompt whose time to first token says how fast prompts are computed. */
-    private static final long SHORTEST_PROMPT_TOKENS = 64;
+    /** Minimum uncached prompt length to measure the prefill speed by the time to the first token. */
+    private static final long MINIMUM_PROMPT_TOKENS = 64;
 
-    /** Load, in parts of the limit, up to which an answer's speed counts as unloaded. */
+    /** Load, as a part of the limit, up to which an answer counts as unloaded. */
     private static final double UNLOADED_PART = 0.3;
 
-    /** Weight of one unloaded answer that is slower than believed: some fifty move the belief by two thirds. */
+    /**
+     * Weight of an unloaded answer that is slower than the estimate; some fifty of them move the estimate by two thirds
+     * of the difference.
+     */
     private static final double UNLOADED_WEIGHT = 0.02;
 
     private final Speedometer decode = new Speedometer();
@@ -37,23 +45,23 @@
         return prefill.value(nowMillis, service.prefillPerSecond());
     }
 
-    /** Speed of an answer when the endpoint has few. */
+    /** Output tokens per second of one answer when the endpoint has few requests. */
     double unloaded() {
         return unloaded;
     }
 
-    /** Takes in a whole answer; true when it completes a window. */
+    /** Adds the measurements of a complete answer; true if it completes a window. */
     boolean add(long nowMillis, Finish finish, double loadPart, ServiceSpeed service) {
         addPrefill(nowMillis, finish, service);
         long decodeMillis = finish.durationMillis() - finish.timeToFirstTokenMillis();
-        boolean plain = finish.promptTokens() == 0;
-        if (decodeMillis <= 0 || (!plain && finish.outputTokens() < SHORTEST_ANSWER_TOKENS)) {
+        boolean withoutPrompt = finish.promptTokens() == 0;
+        if (decodeMillis <= 0 || (!withoutPrompt && finish.outputTokens() < MINIMUM_ANSWER_TOKENS)) {
             return false;
         }
         double speed = Math.max(1, finish.outputTokens()) * 1_000.0 / decodeMillis;
         decode.add(nowMillis, speed);
         service.addDecode(nowMillis, speed);
-        learnUnloaded(loadPart);
+        updateUnloaded(loadPart);
         windowSum += speed;
         windowCount++;
         return windowCount >= WINDOW;
@@ -61,7 +69,7 @@
 
     private void addPrefill(long nowMillis, Finish finish, ServiceSpeed service) {
         long uncached = finish.promptTokens() - finish.cachedTokens();
-        if (uncached < SHORTEST_PROMPT_TOKENS || finish.timeToFirstTokenMillis() <= 0) {
+        if (uncached < MINIMUM_PROMPT_TOKENS || finish.timeToFirstTokenMillis() <= 0) {
             return;
         }
         double speed = uncached * 1_000.0 / finish.timeToFirstTokenMillis();
@@ -69,17 +77,17 @@
         service.addPrefill(nowMillis, speed);
     }
 
-    private void learnUnloaded(double loadPart) {
-        double present = decode.raw(0);
-        if (present > unloaded) {
-            unloaded = present;
+    private void updateUnloaded(double loadPart) {
+        double current = decode.meanOr(0);
+        if (current > unloaded) {
+            unloaded = current;
         } else if (loadPart <= UNLOADED_PART) {
-            unloaded += UNLOADED_WEIGHT * (present - unloaded);
+            unloaded += UNLOADED_WEIGHT * (current - unloaded);
         }
     }
 
-    /** Mean speed of the window, which starts anew. */
-    double takeWindow() {
+    /** Returns the mean speed of the window and starts a new one. */
+    double takeWindowMean() {
         double mean = windowSum / Math.max(1, windowCount);
         windowSum = 0;
         windowCount = 0;
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/Speedometer.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/Speedometer.java
@@ -1,26 +1,26 @@
 package org.quetzalshunt.core.decision.endpoint;
 
-/** Exponentially weighted mean of a rate, with the time of its last sample. */
+/** Exponentially weighted moving average of a rate, with the time of its last sample. */
 final class Speedometer {
     /**
-     * Weight of one sample. Answers a slow endpoint: five samples move the mean by two thirds of a change, so work
-     * moves over some five answers and not at once; one slow answer moves it by a fifth.
+     * Weight of one sample. Five samples move the mean by two thirds of a change and one sample by a fifth, so that
+     * work moves away from a slow endpoint over some five answers and not at once.
      */
     static final double SAMPLE_WEIGHT = 0.2;
 
     /**
-     * Time after which half of what sets an endpoint apart from its service is forgotten. Answers the endpoint that
-     * recovered: it gets few requests, hence few samples, and without forgetting it would stay shunned for good.
-     * Longer than a stutter, shorter than the patience of an operator who repaired it.
+     * Half-life of the difference between an endpoint and its service. A slow endpoint gets few requests and hence few
+     * samples, so without the decay it would be avoided for good after it has recovered. The half-life is longer than a
+     * brief stall, and shorter than the time that an operator who repaired the endpoint is willing to wait.
      */
-    static final double FORGET_HALF_LIFE_MILLIS = 30_000;
+    static final double DIFFERENCE_HALF_LIFE_MILLIS = 30_000;
 
     /**
-     * Difference from the service's mean that counts as none, as a part of that mean. Answers noise: endpoints that
-     * are alike differ by a third in the mean of five answers under a mixture of prompts, and without this each one
-     * that looks fast for a moment draws the work of all until it is slow.
+     * Difference from the mean of the service that is ignored, as a part of that mean. Over five answers to a mixture
+     * of prompts, the means of equal endpoints differ by a third. Without this tolerance, each endpoint that looks fast
+     * for a moment would attract all requests until it is slow.
      */
-    static final double SERVICE_LIKE_PART = 0.4;
+    static final double IGNORED_DIFFERENCE_PART = 0.4;
 
     private double mean;
     private long sampledMillis;
@@ -32,17 +32,18 @@
         sampledMillis = nowMillis;
     }
 
-    /** The mean, drawn towards the given one of the service as the last sample grows old. */
+    /** Returns the mean, which approaches the mean of the service as the last sample ages. */
     double value(long nowMillis, double serviceMean) {
         if (!sampled) {
             return serviceMean;
         }
-        double kept = Math.pow(0.5, (nowMillis - sampledMillis) / FORGET_HALF_LIFE_MILLIS);
-        double difference = kept * (mean - serviceMean);
-        return Math.abs(difference) <= SERVICE_LIKE_PART * serviceMean ? serviceMean : serviceMean + difference;
+        double decay = Math.pow(0.5, (nowMillis - sampledMillis) / DIFFERENCE_HALF_LIFE_MILLIS);
+        double difference = decay * (mean - serviceMean);
+        return Math.abs(difference) <= IGNORED_DIFFERENCE_PART * serviceMean ? serviceMean : serviceMean + difference;
     }
 
-    double raw(double otherwise) {
+    /** Returns the mean, or the given value if there is no sample. */
+    double meanOr(double otherwise) {
         return sampled ? mean : otherwise;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Where a request goes: the table of endpoints, what each has room for, how fast each is, what its cache holds, and
- * which are left alone for a while because they failed.
+ * Endpoint selection for queued requests: the table of endpoints with their concurrency limits, measured speeds, cache
+ * contents and ejections.
  */
 package org.quetzalshunt.core.decision.endpoint;
--- a/core/src/main/java/org/quetzalshunt/core/decision/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The decisions under load of one entry: what is let in, what waits, what is refused, where work goes. No network,
- * no clock, no threads: time comes in as milliseconds, and every answer is a value. {@link
- * org.quetzalshunt.core.decision.Scheduler} is the facade; docs/design/decisions.md weighs the rules.
+ * Admission, queueing, endpoint selection and retries for one entry, the process on a VM that schedules requests. The
+ * package uses no network, no clock and no threads: times are passed in as milliseconds and results are returned as
+ * values. {@link org.quetzalshunt.core.decision.Scheduler} is the facade; docs/design/decisions.md discusses the rules.
  */
 package org.quetzalshunt.core.decision;
--- a/core/src/main/java/org/quetzalshunt/core/decision/queue/AccountQueue.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/queue/AccountQueue.java
@@ -6,20 +6,23 @@
 import java.util.Optional;
 import java.util.PriorityQueue;
 
-/** Row of a client account of one service: its two heaps of waiting requests and its virtual counter. */
+/**
+ * The queued requests of a client account of one service, its virtual counter and its totals. Requests of programs in
+ * progress and of new programs are in separate heaps.
+ */
 public final class AccountQueue {
     private static final Comparator<WaitingItem> BY_KEY = Comparator.comparingLong(WaitingItem::key)
             .thenComparingLong(waiting -> waiting.item().id());
 
     private final String name;
-    private final PriorityQueue<WaitingItem> continuing = new PriorityQueue<>(BY_KEY);
-    private final PriorityQueue<WaitingItem> fresh = new PriorityQueue<>(BY_KEY);
+    private final PriorityQueue<WaitingItem> inProgress = new PriorityQueue<>(BY_KEY);
+    private final PriorityQueue<WaitingItem> newPrograms = new PriorityQueue<>(BY_KEY);
     private double weight = 1;
     private double counter;
     private int queued;
     private int running;
-    private long continuingWork;
-    private long freshWork;
+    private long inProgressWork;
+    private long newProgramWork;
     private long attainedTokens;
 
     private AccountQueue(String name) {
@@ -35,32 +38,32 @@
         return name;
     }
 
-    /** Requests that wait. */
+    /** Number of queued requests. */
     public int queued() {
         return queued;
     }
 
-    /** Requests that run from this entry. */
+    /** Number of requests that this entry has running. */
     public int running() {
         return running;
     }
 
-    /** Work charged since the start, whatever the policy's charge is. */
+    /** Work since this entry started, whatever the charge of the policy. */
     public long attainedTokens() {
         return attainedTokens;
     }
 
-    /** Share under contention. */
+    /** Weight that determines the share of the account under contention. */
     public double weight() {
         return weight;
     }
 
-    /** Work that waits before a new request of this kind: continuing programs wait behind their like alone. */
-    public long workAhead(boolean continuingItem) {
-        return continuingItem ? continuingWork : continuingWork + freshWork;
+    /** Work queued ahead of a new request: requests of programs in progress wait only for each other. */
+    public long workAhead(boolean programInProgress) {
+        return programInProgress ? inProgressWork : inProgressWork + newProgramWork;
     }
 
-    boolean active() {
+    boolean isActive() {
         return queued > 0 || running > 0;
     }
 
@@ -68,7 +71,7 @@
         return counter;
     }
 
-    void liftCounter(double floor) {
+    void raiseCounter(double floor) {
         counter = Math.max(counter, floor);
     }
 
@@ -76,45 +79,45 @@
         counter += amount / weight;
     }
 
-    void attain(long tokens) {
+    void addAttainedTokens(long tokens) {
         attainedTokens += tokens;
     }
 
-    void started() {
+    void recordStart() {
         running++;
     }
 
-    void ended() {
+    void recordEnd() {
         running--;
     }
 
     void add(WaitingItem waiting) {
-        weight = Math.max(FairQueue.SMALLEST_WEIGHT, waiting.item().weight());
-        heap(waiting.continuing()).add(waiting);
+        weight = Math.max(FairQueue.MINIMUM_WEIGHT, waiting.item().weight());
+        heap(waiting.isProgramInProgress()).add(waiting);
         queued++;
-        count(waiting, waiting.expectedWork());
+        addWork(waiting, waiting.expectedWork());
     }
 
     void remove(WaitingItem waiting) {
         waiting.markRemoved();
         queued--;
-        count(waiting, -waiting.expectedWork());
+        addWork(waiting, -waiting.expectedWork());
     }
 
-    private void count(WaitingItem waiting, long work) {
-        if (waiting.continuing()) {
-            continuingWork += work;
+    private void addWork(WaitingItem waiting, long work) {
+        if (waiting.isProgramInProgress()) {
+            inProgressWork += work;
         } else {
-            freshWork += work;
+            newProgramWork += work;
         }
     }
 
     /**
-     * The first requests of one heap, at most so many, in order. A program's attained work may have grown since its
-     * request was queued; such a request is filed anew under its present key, which is never lower.
+     * Returns the first requests of one heap in order, at most {@code most}. The work attained by a program may have
+     * grown since its request was queued; such a request is reinserted with its current key, which is never lower.
      */
-    List<WaitingItem> heads(boolean continuingItems, int most, ProgramTable programs, QueueOrder order) {
-        PriorityQueue<WaitingItem> heap = heap(continuingItems);
+    List<WaitingItem> heads(boolean programsInProgress, int most, ProgramTable programs, QueueOrder order) {
+        PriorityQueue<WaitingItem> heap = heap(programsInProgress);
         List<WaitingItem> heads = new ArrayList<>(most);
         while (heads.size() < most) {
             Optional<WaitingItem> head = takeHead(heap, programs, order);
@@ -134,19 +137,19 @@
             if (head == null) {
                 return Optional.empty();
             }
-            if (head.removed()) {
+            if (head.isRemoved()) {
                 continue;
             }
-            long key = order.key(head.item(), programs.attained(head.item()));
+            long key = order.key(head.item(), programs.attainedTokens(head.item()));
             if (key <= head.key()) {
                 return Optional.of(head);
             }
-            head.rekey(key);
+            head.setKey(key);
             heap.add(head);
         }
     }
 
-    private PriorityQueue<WaitingItem> heap(boolean continuingItems) {
-        return continuingItems ? continuing : fresh;
+    private PriorityQueue<WaitingItem> heap(boolean programsInProgress) {
+        return programsInProgress ? inProgress : newPrograms;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/queue/FairQueue.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/queue/FairQueue.java
@@ -10,29 +10,30 @@
 import org.quetzalshunt.core.decision.WorkItem;
 
 /**
- * Waiting requests of one service, by client account.
+ * Queue of the requests of one service, by client account.
  *
- * <p>Accounts are served by start-time fair queueing (Goyal et al. 1996) with tokens of work in place of packets,
- * as in the virtual token counter (Sheng et al., OSDI 2024): the account with the lowest charged work by weight goes
- * next, and an account that comes back from a rest is lifted to the lowest counter among the active ones, so that
- * rest earns no claim on the others.
+ * <p>Accounts are served by start-time fair queueing (Goyal et al. 1996) with tokens of work instead of packets, as in
+ * the virtual token counter (Sheng et al., OSDI 2024). The account with the lowest charged work by weight is served
+ * next. The counter of an account that was idle is raised to the lowest counter among the active ones, so that an
+ * account gains no advantage from idle time.
  */
 public final class FairQueue {
-    /** Weight below which a document's value counts as this, since a zero would divide by zero. */
-    static final double SMALLEST_WEIGHT = 0.001;
+    /** Minimum weight of an account, since a weight of zero in the service document would cause a division by zero. */
+    static final double MINIMUM_WEIGHT = 0.001;
 
     /**
-     * Requests of one account's heap that are tried before the heap counts as blocked. Answers head-of-line
-     * blocking: the first request's cache sits on a full endpoint while the next one's has room. More tries cost
-     * more at saturation, when all are blocked; with 6 endpoints 8 tries find room with 99% where 60% are full.
+     * Number of requests of one heap that are tried before the heap counts as blocked. It avoids head-of-line blocking,
+     * where the prefix of the first request is cached at a full endpoint while the next request could start. More tries
+     * cost more at saturation, when all requests are blocked; with 6 endpoints, 8 tries find capacity with 99%
+     * probability where 60% of the endpoints are full.
      */
     static final int LOOKAHEAD = 8;
 
     /**
-     * Part of its share of what runs up to which an account may use the room kept for such accounts. At 1.0 accounts
-     * that are all at their share claim it in turn, and goodput at twice the capacity falls to 0.94; at 0.5 a quiet
-     * account with a few programs at once loses its claim, and its p95 beside a flood is 1.6 times its own in place
-     * of 1.36 (trials with two and three seeds).
+     * Part of its fair share of the running requests up to which an account may use the capacity reserved for
+     * underserved accounts. At 1.0, accounts that are all at their share claim it in turn, and goodput at twice the
+     * capacity falls to 0.94. At 0.5, a quiet account with a few concurrent programs loses its claim, and its p95 under
+     * a flood from another account is 1.6 times its own instead of 1.36 (measured in trials with two and three seeds).
      */
     static final double UNDERSERVED_PART = 0.8;
 
@@ -50,12 +51,12 @@
         this.programs = programs;
     }
 
-    /** An empty queue. */
+    /** Creates an empty queue. */
     public static FairQueue create(QueueOrder order, WorkCharge charge, ProgramTable programs) {
         return new FairQueue(order, charge, programs);
     }
 
-    /** Row of a client account, made when first asked for. */
+    /** Returns the queue of a client account, which is created if necessary. */
     public AccountQueue account(String name) {
         return accounts.computeIfAbsent(name, this::addAccount);
     }
@@ -66,23 +67,24 @@
         return account;
     }
 
-    /** All accounts seen. */
+    /** All accounts that had a request. */
     public Collection<AccountQueue> accounts() {
         return accountList;
     }
 
-    /** Requests that wait, over all accounts. */
+    /** Number of queued requests of all accounts. */
     public int queued() {
         return queued;
     }
 
     /** Queues a request. */
-    public WaitingItem add(WorkItem item, long expectedWork, boolean continuing) {
+    public WaitingItem add(WorkItem item, long expectedWork, boolean programInProgress) {
         AccountQueue account = account(item.clientAccount());
-        if (!account.active()) {
-            account.liftCounter(lowestActiveCounter());
+        if (!account.isActive()) {
+            account.raiseCounter(lowestActiveCounter());
         }
-        WaitingItem waiting = WaitingItem.of(item, expectedWork, continuing, order.key(item, programs.attained(item)));
+        WaitingItem waiting =
+                WaitingItem.of(item, expectedWork, programInProgress, order.key(item, programs.attainedTokens(item)));
         account.add(waiting);
         queued++;
         return waiting;
@@ -91,48 +93,48 @@
     private double lowestActiveCounter() {
         double lowest = Double.POSITIVE_INFINITY;
         for (AccountQueue account : accountList) {
-            if (account.active()) {
+            if (account.isActive()) {
                 lowest = Math.min(lowest, account.counter());
             }
         }
         return lowest == Double.POSITIVE_INFINITY ? 0 : lowest;
     }
 
-    /** Takes a request out, whatever the reason. */
+    /** Removes a request from the queue, whether it starts, expires or is withdrawn. */
     public void remove(WaitingItem waiting) {
         account(waiting.item().clientAccount()).remove(waiting);
         queued--;
     }
 
-    /** Charges an account at dispatch, as a correction while the request runs, or at its end. */
+    /** Charges an account at dispatch, and for corrections while the request runs and at its end. */
     public void charge(long nowMillis, WorkItem item, long tokensOfWork, boolean first) {
         AccountQueue account = account(item.clientAccount());
         account.charge(charge.charge(tokensOfWork, first));
-        account.attain(tokensOfWork);
-        programs.attain(nowMillis, item, tokensOfWork);
+        account.addAttainedTokens(tokensOfWork);
+        programs.addAttainedTokens(nowMillis, item, tokensOfWork);
     }
 
-    /** Counts a request that started. */
-    public void started(WorkItem item) {
-        account(item.clientAccount()).started();
+    /** Records the start of a request. */
+    public void recordStart(WorkItem item) {
+        account(item.clientAccount()).recordStart();
     }
 
-    /** Counts a request that ended. */
-    public void ended(WorkItem item) {
-        account(item.clientAccount()).ended();
+    /** Records the end of a request. */
+    public void recordEnd(WorkItem item) {
+        account(item.clientAccount()).recordEnd();
     }
 
     /**
-     * Whether an account has at most {@link #UNDERSERVED_PART} of its share of what runs, by weight among the active
-     * accounts.
+     * Whether an account has at most {@link #UNDERSERVED_PART} of its fair share of the running requests, by weight
+     * among the active accounts.
      */
-    public boolean underserved(String accountName) {
+    public boolean isUnderserved(String accountName) {
         AccountQueue account = account(accountName);
         double weights = 0;
         int running = 0;
         int active = 0;
         for (AccountQueue other : accountList) {
-            if (other.active()) {
+            if (other.isActive()) {
                 weights += other.weight();
                 running += other.running();
                 active++;
@@ -142,14 +144,14 @@
     }
 
     /**
-     * The next request that can be placed: by account, then requests of programs that have begun, then new programs.
-     * New programs wait at saturation without this order too, but at the cost of work in progress, which is then lost
-     * at its deadline; the room that is kept for programs in progress is the scheduler's, not the queue's.
+     * Returns the next request that can start: by account, then requests of programs in progress before new programs.
+     * Without this order new programs wait at saturation as well, but at the cost of work in progress, which is lost at
+     * its deadline. The capacity reserved for programs in progress is managed by the scheduler, not by this queue.
      *
-     * @param place says where a request can go now; empty when nowhere
-     * @param <P> type of a place
+     * @param findTarget finds the target of a request; empty if it cannot start now
+     * @param <P> type of the target
      */
-    public <P> Optional<Placed<P>> next(Function<WaitingItem, Optional<P>> place) {
+    public <P> Optional<Placed<P>> next(Function<WaitingItem, Optional<P>> findTarget) {
         candidates.clear();
         for (AccountQueue account : accountList) {
             if (account.queued() > 0) {
@@ -157,8 +159,9 @@
             }
         }
         while (!candidates.isEmpty()) {
-            AccountQueue account = candidates.remove(lowest());
-            Optional<Placed<P>> placed = tryHeads(account, true, place).or(() -> tryHeads(account, false, place));
+            AccountQueue account = candidates.remove(indexOfNext());
+            Optional<Placed<P>> placed =
+                    tryHeads(account, true, findTarget).or(() -> tryHeads(account, false, findTarget));
             if (placed.isPresent()) {
                 return placed;
             }
@@ -166,17 +169,17 @@
         return Optional.empty();
     }
 
-    private int lowest() {
+    private int indexOfNext() {
         int best = 0;
         for (int index = 1; index < candidates.size(); index++) {
-            if (before(candidates.get(index), candidates.get(best))) {
+            if (precedes(candidates.get(index), candidates.get(best))) {
                 best = index;
             }
         }
         return best;
     }
 
-    private boolean before(AccountQueue one, AccountQueue other) {
+    private boolean precedes(AccountQueue one, AccountQueue other) {
         if (one.counter() != other.counter()) {
             return one.counter() < other.counter();
         }
@@ -187,15 +190,15 @@
         return Math.min(headKey(account, true), headKey(account, false));
     }
 
-    private long headKey(AccountQueue account, boolean continuing) {
-        List<WaitingItem> heads = account.heads(continuing, 1, programs, order);
+    private long headKey(AccountQueue account, boolean programInProgress) {
+        List<WaitingItem> heads = account.heads(programInProgress, 1, programs, order);
         return heads.isEmpty() ? Long.MAX_VALUE : heads.get(0).key();
     }
 
     private <P> Optional<Placed<P>> tryHeads(
-            AccountQueue account, boolean continuing, Function<WaitingItem, Optional<P>> place) {
-        for (WaitingItem head : account.heads(continuing, LOOKAHEAD, programs, order)) {
-            Optional<P> found = place.apply(head);
+            AccountQueue account, boolean programInProgress, Function<WaitingItem, Optional<P>> findTarget) {
+        for (WaitingItem head : account.heads(programInProgress, LOOKAHEAD, programs, order)) {
+            Optional<P> found = findTarget.apply(head);
             if (found.isPresent()) {
                 return Optional.of(new Placed<>(head, found.get()));
             }
@@ -204,11 +207,11 @@
     }
 
     /**
-     * A request with the place found for it.
+     * A request with its target.
      *
-     * @param waiting the request, still queued
-     * @param place where it can go
-     * @param <P> type of the place
+     * @param waiting the request, which is still queued
+     * @param target where it can run
+     * @param <P> type of the target
      */
-    public record Placed<P>(WaitingItem waiting, P place) {}
+    public record Placed<P>(WaitingItem waiting, P target) {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/queue/WaitingItem.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/queue/WaitingItem.java
@@ -2,23 +2,23 @@
 
 import org.quetzalshunt.core.decision.WorkItem;
 
-/** Row of a waiting request. Its position in a heap is stale once it was removed; heaps skip removed rows. */
+/** A queued request. A removed request stays in its heap until it reaches the head, where it is skipped. */
 public final class WaitingItem {
     private final WorkItem item;
     private final long expectedWork;
-    private final boolean continuing;
+    private final boolean programInProgress;
     private long key;
     private boolean removed;
 
-    private WaitingItem(WorkItem item, long expectedWork, boolean continuing, long key) {
+    private WaitingItem(WorkItem item, long expectedWork, boolean programInProgress, long key) {
         this.item = item;
         this.expectedWork = expectedWork;
-        this.continuing = continuing;
+        this.programInProgress = programInProgress;
         this.key = key;
     }
 
-    static WaitingItem of(WorkItem item, long expectedWork, boolean continuing, long key) {
-        return new WaitingItem(item, expectedWork, continuing, key);
+    static WaitingItem of(WorkItem item, long expectedWork, boolean programInProgress, long key) {
+        return new WaitingItem(item, expectedWork, programInProgress, key);
     }
 
     /** The request. */
@@ -26,18 +26,18 @@
         return item;
     }
 
-    /** Work that its account's queue counts for it. */
+    /** Expected work, which counts towards the queued work of its account. */
     public long expectedWork() {
         return expectedWork;
     }
 
-    /** Whether its program has attained service before, so that work would be lost if it failed now. */
-    public boolean continuing() {
-        return continuing;
+    /** Whether its program is in progress, so that the work done so far would be lost if the request failed. */
+    public boolean isProgramInProgress() {
+        return programInProgress;
     }
 
-    /** Whether it left the queue. */
-    public boolean removed() {
+    /** Whether the request was removed from the queue. */
+    public boolean isRemoved() {
         return removed;
     }
 
@@ -45,7 +45,7 @@
         return key;
     }
 
-    void rekey(long newKey) {
+    void setKey(long newKey) {
         key = newKey;
     }
 
--- a/core/src/main/java/org/quetzalshunt/core/decision/queue/WorkCost.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/queue/WorkCost.java
@@ -2,24 +2,26 @@
 
 import org.quetzalshunt.core.decision.WorkItem;
 
-/** Tokens of work: the unit of fair shares and of attained service, counted in prompt tokens to be computed. */
+/**
+ * Cost of work in tokens, the unit of fair shares and of attained service. One unit is the cost of prefilling one
+ * prompt token.
+ */
 public final class WorkCost {
     /**
-     * What one output token costs beside one prompt token. Answers accounts whose requests differ in shape: counted
-     * alike, an account with long answers and short prompts would take several times its share of an engine's time.
-     * Engines with continuous batching compute a prompt 5 to 10 times as fast as they decode; the virtual token
-     * counter's authors charge 2, which is a price, not a cost.
+     * Cost of one output token relative to one prompt token. With equal costs, an account with long answers and short
+     * prompts would take several times its share of engine time. Engines with continuous batching prefill 5 to 10 times
+     * as fast as they decode. The authors of the virtual token counter use 2, which is a price and not a cost.
      */
     public static final long OUTPUT_TOKEN_COST = 8;
 
     private WorkCost() {}
 
-    /** Work of a prompt part that is not in a cache and of an answer. */
+    /** Returns the cost of the uncached part of a prompt and of an answer. */
     public static long of(long uncachedPromptTokens, long outputTokens) {
         return Math.max(0, uncachedPromptTokens) + OUTPUT_TOKEN_COST * Math.max(0, outputTokens);
     }
 
-    /** Work of a request before it runs, when so much of its prompt is believed to be cached. */
+    /** Returns the expected cost of a request that has not run yet. */
     public static long expected(WorkItem item, long cachedTokens) {
         return of(item.promptTokens() - cachedTokens, item.expectedOutputTokens());
     }
--- a/core/src/main/java/org/quetzalshunt/core/decision/queue/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/queue/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Who goes first: fair queueing over client accounts by tokens of work, and inside an account the order of its
- * requests by what their programs have attained, how long they wait, and whether their program has begun.
+ * Order of the queued requests: fair queueing over client accounts by tokens of work. Inside an account, requests are
+ * ordered by the attained work of their programs, their waiting time, and whether their program is in progress.
  */
 package org.quetzalshunt.core.decision.queue;
--- a/core/src/main/java/org/quetzalshunt/core/decision/retry/RetryDelay.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/retry/RetryDelay.java
@@ -2,22 +2,25 @@
 
 import java.util.SplittableRandom;
 
-/** Time between attempts: exponential with full jitter (Brooker 2015). */
+/** Delay between attempts: exponential back-off with full jitter (Brooker 2015). */
 public final class RetryDelay {
-    /** First bound: several ways between data centres, below what a person notices. */
-    static final long FIRST_MILLIS = 20;
+    /** Bound of the first delay: several round trips between data centres, too short for a person to notice. */
+    static final long INITIAL_BOUND_MILLIS = 20;
 
-    /** Largest bound: an endpoint's restart is not waited out by retries. */
-    static final long LARGEST_MILLIS = 2_000;
+    /** Maximum bound, shorter than the restart of an endpoint: retries are not meant to wait for one. */
+    static final long MAXIMUM_BOUND_MILLIS = 2_000;
 
-    private static final int MOST_DOUBLINGS = 16;
+    private static final int MAXIMUM_DOUBLINGS = 16;
 
     private RetryDelay() {}
 
-    /** A chance time below a bound that doubles with each attempt, so that requests that failed together part. */
-    public static long millis(int attemptsBefore, SplittableRandom random) {
-        int doublings = Math.min(MOST_DOUBLINGS, Math.max(0, attemptsBefore - 1));
-        long bound = Math.min(LARGEST_MILLIS, FIRST_MILLIS << doublings);
+    /**
+     * Returns a random delay below a bound that doubles with each attempt, so that requests that failed together are
+     * retried at different times.
+     */
+    public static long millis(int previousAttempts, SplittableRandom random) {
+        int doublings = Math.min(MAXIMUM_DOUBLINGS, Math.max(0, previousAttempts - 1));
+        long bound = Math.min(MAXIMUM_BOUND_MILLIS, INITIAL_BOUND_MILLIS << doublings);
         return random.nextLong(bound + 1);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/retry/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Retries inside the system: how many, and how long apart. Whether a request may run twice is its program's matter. */
+/** Number and spacing of retries inside the system. Whether a request may run twice is decided by its program. */
 package org.quetzalshunt.core.decision.retry;
--- a/core/src/test/java/org/quetzalshunt/core/decision/RulesTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/decision/RulesTest.java
@@ -17,29 +17,30 @@
 import org.quetzalshunt.core.result.Refusal;
 import org.quetzalshunt.core.result.ResultCode;
 
-/** Rules one by one, each with the mutation that its test catches: a rule in force against the plain one. */
+/** Tests each rule of the scheduler against a policy without it: the outcome must differ between the two. */
 final class RulesTest {
     private static final long DEADLINE_MILLIS = 60_000;
 
     private enum Rule {
-        IN_FORCE,
-        TAKEN_OUT;
+        ENABLED,
+        DISABLED;
 
-        Policy choose(Policy without) {
-            return this == IN_FORCE ? Policy.standard() : without;
+        Policy select(Policy without) {
+            return this == ENABLED ? Policy.standard() : without;
         }
     }
 
     private long nextId = 1;
 
     /**
-     * One account queues twenty long requests, then another one sends a short one. One request runs at a time.
-     * The short one must not wait for all twenty, or its school waits behind another school's export.
+     * Guards against a quiet account that waits for the whole queue of another one. One account queues twenty long
+     * requests, then another one sends a short one, while one request runs at a time. The second school would wait for
+     * the export of the first.
      */
     @ParameterizedTest
     @EnumSource(Rule.class)
-    void quietAccountDoesNotWaitBehindAnothersQueue(Rule rule) {
-        Scheduler scheduler = scheduler(rule.choose(Policy.standard().withCharge(WorkCharge.nothing())));
+    void quietAccountDoesNotWaitForTheQueueOfAnother(Rule rule) {
+        Scheduler scheduler = scheduler(rule.select(Policy.standard().withCharge(WorkCharge.nothing())));
         report(scheduler, "engine-1", 1);
         for (int number = 0; number < 20; number++) {
             scheduler.offer(0, item("loud", "loud-" + number, 0, 4_000), 0);
@@ -50,17 +51,18 @@
         List<Long> started = startOneByOne(scheduler);
 
         assertThat(started).hasSize(21);
-        assertThat(started.indexOf(quiet.id()) <= 2).isEqualTo(rule == Rule.IN_FORCE);
+        assertThat(started.indexOf(quiet.id()) <= 2).isEqualTo(rule == Rule.ENABLED);
     }
 
     /**
-     * Within one account a planning program has attained much. Its next turn comes just before a quick program's,
-     * both wait, and the quick one must go first, or every question waits behind a plan.
+     * Guards against short programs that wait behind long ones of the same account. The next turn of a planning program
+     * with much attained work arrives just before that of a quick program, and the quick one must go first. Otherwise
+     * every question would wait for a plan.
      */
     @ParameterizedTest
     @EnumSource(Rule.class)
     void programWithLittleAttainedServiceGoesFirst(Rule rule) {
-        Scheduler scheduler = scheduler(rule.choose(Policy.standard().withOrder(QueueOrder.arrival())));
+        Scheduler scheduler = scheduler(rule.select(Policy.standard().withOrder(QueueOrder.arrival())));
         report(scheduler, "engine-1", 1);
         WorkItem planning = item("school", "plan", 0, 100_000);
         scheduler.offer(0, planning, 0);
@@ -76,17 +78,17 @@
 
         List<Long> started = startOneByOne(scheduler);
 
-        assertThat(started.get(0) == quick.id()).isEqualTo(rule == Rule.IN_FORCE);
+        assertThat(started.get(0) == quick.id()).isEqualTo(rule == Rule.ENABLED);
     }
 
     /**
-     * The queue of an account is longer than its deadline allows. A caller who is told at once can go elsewhere; one
-     * who is told at the deadline has waited for nothing. The refusal is true: nothing ran.
+     * Guards against requests that wait for a deadline that they cannot meet, because the queue of their account is too
+     * long. A caller that is refused at once can go elsewhere. The refusal must correctly state that nothing ran.
      */
     @ParameterizedTest
     @EnumSource(Rule.class)
     void requestThatCannotMeetItsDeadlineIsRefusedAtOnce(Rule rule) {
-        Scheduler scheduler = scheduler(rule.choose(Policy.standard().withAdmission(AdmissionRule.everything())));
+        Scheduler scheduler = scheduler(rule.select(Policy.standard().withAdmission(AdmissionRule.everything())));
         report(scheduler, "engine-1", 1);
         scheduler.tick(0);
         Optional<Refusal> refusal = Optional.empty();
@@ -94,24 +96,24 @@
             refusal = scheduler.offer(0, item("loud", "loud-" + number, 0, 4_000), 1_000);
         }
 
-        assertThat(refusal.isPresent()).isEqualTo(rule == Rule.IN_FORCE);
-        refusal.ifPresent(told -> {
-            assertThat(told.code()).isEqualTo(ResultCode.DEADLINE_UNREACHABLE);
-            assertThat(told.execution()).isEqualTo(Execution.NOT_RUN);
-            assertThat(told.retryAfterMillis().isPresent()).isTrue();
+        assertThat(refusal.isPresent()).isEqualTo(rule == Rule.ENABLED);
+        refusal.ifPresent(refused -> {
+            assertThat(refused.code()).isEqualTo(ResultCode.DEADLINE_UNREACHABLE);
+            assertThat(refused.execution()).isEqualTo(Execution.NOT_RUN);
+            assertThat(refused.retryAfterMillis().isPresent()).isTrue();
         });
         assertThat(scheduler.offer(0, item("quiet", "quiet-1", 0, 100), 0)).isEmpty();
     }
 
     /**
-     * Every endpoint fails every request, as with a broken adapter. Taking all of them out would leave nothing for
-     * the requests that still work; a third at most is left alone.
+     * Guards against the ejection of all endpoints when every request fails, for example because of a broken adapter.
+     * At most a third may be ejected, so that the requests that still work have endpoints.
      */
     @ParameterizedTest
     @EnumSource(Rule.class)
-    void failingEndpointsAreEjectedButNeverMostOfThem(Rule rule) {
+    void failingEndpointsAreEjectedButAtMostAThirdOfThem(Rule rule) {
         EndpointRules rules = EndpointRules.adaptive().withEjection(EjectionRule.never());
-        Scheduler scheduler = scheduler(rule.choose(Policy.standard().withRules(rules)));
+        Scheduler scheduler = scheduler(rule.select(Policy.standard().withRules(rules)));
         for (int endpoint = 0; endpoint < 6; endpoint++) {
             report(scheduler, "engine-" + endpoint, 4);
         }
@@ -124,18 +126,18 @@
 
         long ejected =
                 scheduler.endpoints().stream().filter(EndpointView::ejected).count();
-        assertThat(ejected).isEqualTo(rule == Rule.IN_FORCE ? 2 : 0);
+        assertThat(ejected).isEqualTo(rule == Rule.ENABLED ? 2 : 0);
     }
 
     /**
-     * An engine restarts. Its programs come back all at once with cold caches, and each would crawl; it must be
-     * given a few at first.
+     * Guards against overloading a restarted engine: its programs return at once with cold caches and would slow each
+     * other down, so it must get only a few requests at first.
      */
     @ParameterizedTest
     @EnumSource(Rule.class)
-    void endpointThatComesBackStartsWithFewRequests(Rule rule) {
-        EndpointRules rules = EndpointRules.adaptive().withReturnLimit(slots -> slots);
-        Scheduler scheduler = scheduler(rule.choose(Policy.standard().withRules(rules)));
+    void recoveredEndpointStartsWithFewRequests(Rule rule) {
+        EndpointRules rules = EndpointRules.adaptive().withInitialLimit(slots -> slots);
+        Scheduler scheduler = scheduler(rule.select(Policy.standard().withRules(rules)));
         report(scheduler, "engine-1", 32);
         scheduler.endpointReported(20_000, state("engine-1", 32, false));
         scheduler.endpointReported(30_000, state("engine-1", 32, true));
@@ -145,10 +147,10 @@
 
         int started = scheduler.tick(30_000).size();
 
-        assertThat(started <= 4).isEqualTo(rule == Rule.IN_FORCE);
+        assertThat(started <= 4).isEqualTo(rule == Rule.ENABLED);
     }
 
-    /** All endpoints die and every request fails. Retries must run out before they triple the load. */
+    /** Guards against retries that triple the load when all endpoints fail: the budget must run out. */
     @Test
     void retriesRunOutWhenEverythingFails() {
         Scheduler scheduler = scheduler(Policy.standard());
@@ -161,7 +163,7 @@
         assertThat(scheduler.mayRetry(10_000, "tutor")).isTrue();
     }
 
-    /** The endpoint that failed a request is still the least loaded. The next attempt must not go there again. */
+    /** Guards against a retry at the endpoint that failed the request, which may still be the least loaded. */
     @Test
     void retryAvoidsTheEndpointThatFailedIt() {
         Scheduler scheduler = scheduler(Policy.standard());
@@ -177,14 +179,14 @@
     }
 
     /**
-     * Three more entries start beside this one and read the same report of an idle engine. If each filled it, it
-     * would hold four times what it can run until the next report.
+     * Guards against overload by several entries that see the same report of an idle engine. If each of four entries
+     * filled it, it would hold four times its capacity until the next report.
      */
     @ParameterizedTest
     @EnumSource(Rule.class)
-    void entriesShareTheRoomThatAReportShows(Rule rule) {
+    void entriesShareTheFreeCapacityOfAReport(Rule rule) {
         Scheduler scheduler = scheduler(Policy.standard());
-        scheduler.entriesChanged(rule == Rule.IN_FORCE ? 4 : 1);
+        scheduler.entriesChanged(rule == Rule.ENABLED ? 4 : 1);
         report(scheduler, "engine-1", 32);
         for (int number = 0; number < 40; number++) {
             scheduler.offer(1, item("school", "program-" + number, 1, 100), 0);
@@ -192,11 +194,11 @@
 
         int started = scheduler.tick(1).size();
 
-        assertThat(started <= 16).isEqualTo(rule == Rule.IN_FORCE);
+        assertThat(started <= 16).isEqualTo(rule == Rule.ENABLED);
         assertThat(started).isAtLeast(7);
     }
 
-    /** Same seed, same decisions, so that a failing run can be repeated. */
+    /** Guards against decisions that cannot be reproduced: the same seed must give the same decisions. */
     @Test
     void sameSeedMakesTheSameDecisions() {
         List<String> first = placements(scheduler(Policy.standard()));
@@ -226,7 +228,10 @@
         return new EndpointState(name, "tutor", "tt-south-a", slots, 0, 0, 0, 0, false, healthy);
     }
 
-    /** Starts and ends requests until nothing waits; time stands still, so only the order matters. */
+    /**
+     * Starts and ends requests one by one until the queue is empty, and returns their ids in order. Every request ends
+     * in the tick in which it starts, so only the order matters.
+     */
     private static List<Long> startOneByOne(Scheduler scheduler) {
         List<Long> started = new ArrayList<>();
         long now = 6_000;
@@ -282,7 +287,7 @@
                 item.expectedOutputTokens(),
                 item.arrivedMillis(),
                 item.deadlineMillis(),
-                item.attemptsBefore(),
+                item.previousAttempts(),
                 avoidEndpoint);
     }
 }
--- a/core/src/test/java/org/quetzalshunt/core/decision/SchedulerTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/decision/SchedulerTest.java
@@ -13,7 +13,7 @@
     private final Scheduler scheduler = Scheduler.create(SchedulerSettings.of("tt-south-a", 1, 7));
 
     @Test
-    void requestRunsAndItsPrefixIsRemembered() {
+    void requestRunsAndItsPrefixLocationIsRecorded() {
         scheduler.endpointReported(0, endpoint("engine-1", false));
 
         assertThat(scheduler.offer(0, item(1), 10)).isEmpty();
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void leavingEndpointTakesNothingAndTheWaitingRequestExpiresNotRun() {
+    void endpointThatShutsDownGetsNoWorkAndTheQueuedRequestExpiresNotRun() {
         scheduler.endpointReported(0, endpoint("engine-1", true));
 
         assertThat(scheduler.offer(0, item(1), 10)).isEmpty();
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void accountBeyondItsQueueLimitIsRefusedAndWithdrawnRequestsMakeRoom() {
+    void accountOverItsQueueLimitIsRefusedUntilARequestIsWithdrawn() {
         assertThat(scheduler.offer(0, item(1), 1)).isEmpty();
         assertThat(scheduler.offer(0, item(2), 1).orElseThrow().code()).isEqualTo(ResultCode.QUEUE_FULL);
         assertThat(scheduler.withdraw(1)).isTrue();
