--- a/core/src/main/java/org/quetzalshunt/core/quota/OutageWaitPolicy.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/OutageWaitPolicy.java
@@ -1,44 +1,49 @@
 package org.quetzalshunt.core.quota;
 
 /**
- * How long a request waits in an outage that no other VM is spared, and when its caller should come back after that.
+ * How long a request waits in an outage that affects every VM, and how long its caller should wait before it retries.
  *
- * <p>Load pattern: the store is unavailable for some seconds, or all VMs were killed and reconnect. Each turn has
- * a few tries only, and a program whose turn has used them up is lost with all that it has done. Refused at once and called
- * back early, they are used up in the first three seconds; spread over the time that callers have, they reach over most
- * outages. A request that waits is served as soon as the outage ends.
+ * <p>Load pattern: the store is unavailable for some seconds, or all VMs were killed and reconnect. Each turn has only
+ * a few attempts, and a program whose turn has used them up loses all of its work. If requests were refused at once
+ * with a short retry delay, the attempts would be used up within the first three seconds. Spread over the caller's
+ * remaining time, they outlast most outages. A request that waits is served as soon as the outage ends.
  */
 public final class OutageWaitPolicy {
-    /** Part of its time that a request waits; the rest is for its run, or for its caller's next try. */
-    private static final double WAIT_PART = 0.3;
+    /**
+     * Fraction of its remaining time that a request waits. The rest is for its execution, or for its caller's next
+     * attempt.
+     */
+    private static final double WAIT_FRACTION = 0.3;
 
-    /** Callers abandon a stream without an event after two seconds, and an engine may need most of one to begin. */
-    private static final long MOST_WAIT_MILLIS = 1_200;
+    /**
+     * Callers abandon a stream without an event after two seconds, and an engine may need most of one second to start.
+     */
+    private static final long MAXIMUM_WAIT_MILLIS = 1_200;
 
-    /** Callers wait at most for this part of their time. */
-    private static final double COME_BACK_PART = 1 / 3.0;
+    /** Callers honour a retry delay only up to this fraction of their remaining time. */
+    private static final double RETRY_FRACTION = 1 / 3.0;
 
-    /** Part of that time over which callers are spread, so that they do not return as one. */
-    private static final double SPREAD = 0.05;
+    /** Fraction of the retry delay over which retries are spread, so that callers do not all return at once. */
+    private static final double JITTER_FRACTION = 0.05;
 
     private OutageWaitPolicy() {}
 
     /**
-     * The longest wait.
+     * The longest time that a request waits, in milliseconds.
      *
-     * @param leftMillis time that the caller had left when the request arrived
+     * @param remainingMillis time that the caller had left when the request arrived
      */
-    public static long maximumWaitMillis(long leftMillis) {
-        return Math.min(MOST_WAIT_MILLIS, (long) (WAIT_PART * leftMillis));
+    public static long maximumWaitMillis(long remainingMillis) {
+        return Math.min(MAXIMUM_WAIT_MILLIS, (long) (WAIT_FRACTION * remainingMillis));
     }
 
     /**
-     * When to come back.
+     * The delay before the caller should retry, in milliseconds.
      *
-     * @param leftMillis time that the caller has left
-     * @param chance anything from 0 to 1, evenly
+     * @param remainingMillis time that the caller has left
+     * @param random random number, uniformly distributed from 0 to 1
      */
-    public static long retryAfterMillis(long leftMillis, double chance) {
-        return (long) (COME_BACK_PART * leftMillis * (1 - SPREAD * chance));
+    public static long retryAfterMillis(long remainingMillis, double random) {
+        return (long) (RETRY_FRACTION * remainingMillis * (1 - JITTER_FRACTION * random));
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/quota/PeerTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/PeerTable.java
@@ -5,29 +5,30 @@
 import java.util.TreeMap;
 
 /**
- * The other VMs by their heartbeats: which leases may still be in force, and who is a member of the fleet.
+ * The other VMs of the fleet as known from their heartbeats: which of their leases may still be in force, and which VMs
+ * are members of the fleet.
  *
- * <p>The two differ while the store is unavailable. Leases run out then, since nobody can renew them; members stay, since a
- * VM that cannot send a heartbeat is not gone. Guards against a fleet that forgets itself in each outage of the store:
- * every link would be closed, and after the outage every VM would claim all quotas.
+ * <p>The two answers differ while the store is unavailable. Leases expire then, because no VM can renew its lease.
+ * Members stay, because a VM that cannot write a heartbeat may still be running. If an outage removed members, every VM
+ * would close its links to all others, and after the outage every VM would claim all quotas.
  */
 public final class PeerTable {
-    /** The lease, and a margin for the drift of two clocks. */
-    public static final long OBSERVED_MILLIS = VmLease.LEASE_MILLIS + 1_500;
+    /** Time after its last heartbeat for which a peer's lease is respected: the lease, and a margin for clock drift. */
+    public static final long LEASE_OBSERVATION_MILLIS = VmLease.LEASE_MILLIS + 1_500;
 
-    /** A longer pause between two complete reads means that the store, or the way to it, was unavailable. */
-    private static final long LONGEST_PAUSE_MILLIS = 1_500;
+    /** A longer gap between two complete reads means that the store, or the connection to it, was unavailable. */
+    private static final long MAXIMUM_READ_GAP_MILLIS = 1_500;
 
-    /** Bounds the memory of leases of VMs that are gone. */
-    private static final long FORGET_MILLIS = 600_000;
+    /** Bounds the memory used for lease terms of VMs that no longer exist. */
+    private static final long UNKNOWN_TERM_RETENTION_MILLIS = 600_000;
 
-    private static final class Row {
+    private static final class Peer {
         VmHeartbeat heartbeat;
-        long seenMillis;
-        /** The same, moved on by the time for which no heartbeat could be read. */
+        long leaseSeenMillis;
+        /** As {@code leaseSeenMillis}, but moved forward by each period in which no heartbeat could be read. */
         long memberSeenMillis;
 
-        boolean isOf(LeaseTerm term) {
+        boolean hasTerm(LeaseTerm term) {
             return heartbeat.incarnation() == term.incarnation() && heartbeat.epoch() == term.epoch();
         }
 
@@ -40,32 +41,32 @@
     private record UnknownTerm(String vm, LeaseTerm term) {}
 
     private final String self;
-    private final Map<String, Row> rows = new HashMap<>();
+    private final Map<String, Peer> peers = new HashMap<>();
     private final Map<UnknownTerm, Long> unknownTerms = new HashMap<>();
     private Map<String, VmHeartbeat> members = Map.of();
-    private long readMillis = Long.MIN_VALUE / 2;
+    private long lastReadMillis = Long.MIN_VALUE / 2;
 
     private PeerTable(String self) {
         this.self = self;
     }
 
-    /** Makes a table without peers. */
+    /** Creates a table without peers. */
     public static PeerTable create(String self) {
         return new PeerTable(self);
     }
 
-    /** A heartbeat was read. Heartbeats of a VM's former processes may arrive late, and are ignored. */
+    /** Records a heartbeat. Heartbeats of a VM's former processes may arrive late and are ignored. */
     public void onHeartbeat(long nowMillis, String vm, VmHeartbeat heartbeat) {
         if (vm.equals(self)) {
             return;
         }
-        Row row = rows.computeIfAbsent(vm, ignored -> new Row());
-        if (row.heartbeat != null && !isNewer(heartbeat, row.heartbeat)) {
+        Peer peer = peers.computeIfAbsent(vm, ignored -> new Peer());
+        if (peer.heartbeat != null && !isNewer(heartbeat, peer.heartbeat)) {
             return;
         }
-        row.heartbeat = heartbeat;
-        row.seenMillis = nowMillis;
-        row.memberSeenMillis = nowMillis;
+        peer.heartbeat = heartbeat;
+        peer.leaseSeenMillis = nowMillis;
+        peer.memberSeenMillis = nowMillis;
     }
 
     private static boolean isNewer(VmHeartbeat heartbeat, VmHeartbeat known) {
@@ -75,58 +76,59 @@
     }
 
     /**
-     * Only the newest record of each VM was read, in place of all in their order. A heartbeat that was stored late may hide
-     * newer ones, so every lease counts as just renewed.
+     * Handles a read that returned only the newest record of each VM instead of all records in order. A heartbeat that
+     * was stored late may then hide newer ones, so every lease counts as just renewed.
      */
     public void onSnapshot(long nowMillis) {
-        rows.values().forEach(row -> row.seenMillis = nowMillis);
+        peers.values().forEach(peer -> peer.leaseSeenMillis = nowMillis);
     }
 
     /**
-     * All heartbeats were read.
+     * Records that all heartbeats of a read were passed to {@link #onHeartbeat}.
      *
-     * @param sentMillis when the read was sent: what it shows was true then or later
+     * @param sentMillis when the read was sent: its result reflects the store at that time or later
      */
     public void onReadComplete(long sentMillis) {
-        long unavailable = sentMillis - readMillis - LONGEST_PAUSE_MILLIS;
-        if (unavailable > 0) {
-            rows.values()
-                    .forEach(row -> row.memberSeenMillis = Math.min(sentMillis, row.memberSeenMillis + unavailable));
+        long unavailableMillis = sentMillis - lastReadMillis - MAXIMUM_READ_GAP_MILLIS;
+        if (unavailableMillis > 0) {
+            peers.values()
+                    .forEach(peer ->
+                            peer.memberSeenMillis = Math.min(sentMillis, peer.memberSeenMillis + unavailableMillis));
         }
-        readMillis = sentMillis;
-        unknownTerms.values().removeIf(since -> readMillis - since >= FORGET_MILLIS);
+        lastReadMillis = sentMillis;
+        unknownTerms.values().removeIf(since -> lastReadMillis - since >= UNKNOWN_TERM_RETENTION_MILLIS);
         members = currentMembers();
     }
 
     private Map<String, VmHeartbeat> currentMembers() {
         Map<String, VmHeartbeat> current = new TreeMap<>();
-        rows.forEach((vm, row) -> {
-            if (!row.heartbeat.stopping() && readMillis - row.memberSeenMillis < OBSERVED_MILLIS) {
-                current.put(vm, row.heartbeat);
+        peers.forEach((vm, peer) -> {
+            if (!peer.heartbeat.stopping() && lastReadMillis - peer.memberSeenMillis < LEASE_OBSERVATION_MILLIS) {
+                current.put(vm, peer.heartbeat);
             }
         });
         return current;
     }
 
-    /** The other members of the fleet with their newest heartbeats, by name. */
+    /** The other members of the fleet with their newest heartbeats, sorted by name. */
     public Map<String, VmHeartbeat> members() {
         return members;
     }
 
     /**
-     * Whether a peer may be using what it acquired under a term. Judged as of the last complete read: a renewal that the
-     * store acknowledged after a lease had run out does not count for its holder either.
+     * Whether a peer may still be using shares that it acquired under a term. Decided as of the last complete read.
+     * That is safe because a holder does not count a renewal that the store acknowledged after its lease had expired.
      */
     public boolean mayBeInForce(long nowMillis, String vm, LeaseTerm term) {
-        Row row = rows.get(vm);
-        if (row != null && row.isNewerThan(term)) {
+        Peer peer = peers.get(vm);
+        if (peer != null && peer.isNewerThan(term)) {
             return false;
         }
-        if (row != null && row.isOf(term)) {
-            return !row.heartbeat.stopping() && readMillis - row.seenMillis < OBSERVED_MILLIS;
+        if (peer != null && peer.hasTerm(term)) {
+            return !peer.heartbeat.stopping() && lastReadMillis - peer.leaseSeenMillis < LEASE_OBSERVATION_MILLIS;
         }
-        // Its heartbeat may not have been read yet.
+        // The first heartbeat of this term may not have been read yet.
         long since = unknownTerms.computeIfAbsent(new UnknownTerm(vm, term), ignored -> nowMillis);
-        return nowMillis - since < OBSERVED_MILLIS;
+        return nowMillis - since < LEASE_OBSERVATION_MILLIS;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/quota/QuotaLeases.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/QuotaLeases.java
@@ -9,31 +9,31 @@
 import java.util.function.ObjIntConsumer;
 
 /**
- * The shares of accounts' quotas that this VM holds under its lease. Each account has a primary and a secondary owner
- * ({@link ShareAllocation}); an owner acquires its share by a compare-and-append on the account's own log, so that VMs that
- * acquire different accounts do not conflict, and the shares in force of one account never exceed the whole. Renewal is
- * the VM's heartbeat and needs no condition ({@link VmLease}).
+ * Acquires, holds and releases this VM's shares of accounts' quotas under its lease. Each account has a primary and a
+ * secondary owner ({@link ShareAllocation}). An owner acquires its share by a compare-and-append on the account's own
+ * log, so VMs that acquire different accounts do not conflict, and the shares in force of one account never exceed the
+ * whole. The VM's heartbeat renews all of its shares without a compare ({@link VmLease}).
  *
- * <p>Load pattern: all VMs return at once, after a restart of the fleet or an outage of the store. Each acquires a handful of
- * accounts, in two round trips and side by side.
+ * <p>Load pattern: all VMs return at once, after a restart of the fleet or an outage of the store. Each acquires a
+ * small number of accounts, in two round trips, all accounts in parallel.
  */
 public final class QuotaLeases {
-    /** The whole of an account's rate and burst. */
+    /** Number of parts that make up the whole of an account's rate and burst. */
     public static final int ALL_PARTS = ShareAllocation.ALL_PARTS;
 
-    /** Conflicts in a row before the next round is waited for. */
-    private static final int MOST_TRIES = 6;
+    /** Write attempts that conflict in a row before the acquisition is put off until the next read of heartbeats. */
+    private static final int MAXIMUM_ATTEMPTS = 6;
 
     private static final class Holding {
-        /** As last acknowledged by the store. */
+        /** Share as last acknowledged by the store. */
         QuotaShare share;
 
         TokenBucket bucket;
-        /** Parts in use: fewer than recorded while some are being given up. */
+        /** Parts in use. Fewer than recorded while a reduction of the share is being written. */
         int parts;
 
         boolean acquiring;
-        int tries;
+        int attempts;
     }
 
     private final String self;
@@ -66,10 +66,10 @@
     }
 
     /**
-     * Makes leases on nothing.
+     * Creates leases that hold no share.
      *
      * @param clock monotonic milliseconds
-     * @param listener receives the account and parts of each share that comes into force
+     * @param listener receives the account and the number of parts of each share that comes into force
      */
     public static QuotaLeases create(
             String self,
@@ -81,13 +81,16 @@
         return new QuotaLeases(self, clock, peers, lease, store, listener);
     }
 
-    /** Puts the accounts' quotas in force. */
+    /** Replaces the quotas of all accounts and applies them to the shares held. */
     public void setAccounts(Map<String, QuotaTerms> quotas) {
         accounts = Map.copyOf(quotas);
         holdings.forEach((account, holding) -> applyTerms(account, holding));
     }
 
-    /** Acquires or gives up shares where this VM's ownership has changed. To be called after each read of heartbeats. */
+    /**
+     * Starts to acquire or release shares where this VM's ownership has changed. Must be called after each read of
+     * heartbeats.
+     */
     public void settle() {
         List<String> members = new ArrayList<>(peers.members().keySet());
         members.add(self);
@@ -97,96 +100,97 @@
             return;
         }
         accounts.forEach((account, quota) -> {
-            boolean owner = allocation.target(account, quota.burst()) > 0;
+            boolean owner = allocation.targetParts(account, quota.burst()) > 0;
             if (owner || holdings.containsKey(account)) {
-                settle(account, holdings.computeIfAbsent(account, ignored -> new Holding()));
+                reconcile(account, holdings.computeIfAbsent(account, ignored -> new Holding()));
             }
         });
     }
 
-    private void settle(String account, Holding holding) {
+    private void reconcile(String account, Holding holding) {
         if (holding.acquiring || isSettled(account)) {
             return;
         }
         holding.acquiring = true;
-        holding.tries = 0;
-        read(account, holding);
+        holding.attempts = 0;
+        readShares(account, holding);
     }
 
-    private int target(String account) {
+    private int targetParts(String account) {
         QuotaTerms quota = accounts.get(account);
-        return quota == null ? 0 : allocation.target(account, quota.burst());
+        return quota == null ? 0 : allocation.targetParts(account, quota.burst());
     }
 
-    private void read(String account, Holding holding) {
+    private void readShares(String account, Holding holding) {
         store.read(account, page -> {
             if (page.isEmpty()) {
                 holding.acquiring = false;
                 return;
             }
-            acquire(account, holding, page.get());
+            writeShare(account, holding, page.get());
         });
     }
 
-    private void acquire(String account, Holding holding, ShareStore.Page page) {
+    private void writeShare(String account, Holding holding, ShareStore.Page page) {
         long now = clock.getAsLong();
         LeaseTerm term = lease.term(now);
         if (!lease.inForce(now)) {
             holding.acquiring = false;
             return;
         }
-        int taken = 0;
-        int lapsed = 0;
+        int partsHeldByPeers = 0;
+        int expiredParts = 0;
         Map<String, Optional<QuotaShare>> changes = new HashMap<>();
         for (Map.Entry<String, QuotaShare> entry : page.shares().entrySet()) {
             if (entry.getKey().equals(self)) {
                 continue;
             }
             if (peers.mayBeInForce(now, entry.getKey(), entry.getValue().term())) {
-                taken += entry.getValue().parts();
+                partsHeldByPeers += entry.getValue().parts();
             } else {
-                lapsed += entry.getValue().parts();
+                expiredParts += entry.getValue().parts();
                 changes.put(entry.getKey(), Optional.empty());
             }
         }
-        int parts = Math.max(0, Math.min(target(account), ALL_PARTS - taken));
-        Optional<QuotaShare> former = Optional.ofNullable(page.shares().get(self));
-        if (parts == parts(account) && parts == recordedParts(former, term)) {
+        int parts = Math.max(0, Math.min(targetParts(account), ALL_PARTS - partsHeldByPeers));
+        Optional<QuotaShare> previousRecord = Optional.ofNullable(page.shares().get(self));
+        if (parts == parts(account) && parts == recordedParts(previousRecord, term)) {
             holding.acquiring = false;
             return;
         }
-        if (parts <= ALL_PARTS - taken - lapsed) {
-            // Nothing is taken over, so the lapsed records stay as their holders' proof (see bucket()).
+        if (parts <= ALL_PARTS - partsHeldByPeers - expiredParts) {
+            // No expired share is taken over, so the expired records stay: each proves to its holder that no other VM
+            // has spent the share's tokens (see bucketFor()).
             changes.clear();
         }
         if (parts < parts(account)) {
-            // What is given up must not be used from here on, whatever becomes of the write.
+            // Released parts must not be used from here on, even if the result of the write is unknown.
             holding.parts = parts;
             applyTerms(account, holding);
         }
         QuotaShare share = new QuotaShare(term, ++sequence, parts);
         changes.put(self, Optional.of(share));
-        store.write(account, changes, page.end(), result -> written(account, holding, former, share, result));
+        store.write(account, changes, page.end(), result -> onWritten(account, holding, previousRecord, share, result));
     }
 
-    private void written(
+    private void onWritten(
             String account,
             Holding holding,
-            Optional<QuotaShare> former,
+            Optional<QuotaShare> previousRecord,
             QuotaShare share,
             ShareStore.WriteResult result) {
-        if (result == ShareStore.WriteResult.CONFLICT && ++holding.tries < MOST_TRIES) {
-            read(account, holding);
+        if (result == ShareStore.WriteResult.CONFLICT && ++holding.attempts < MAXIMUM_ATTEMPTS) {
+            readShares(account, holding);
             return;
         }
         holding.acquiring = false;
         if (result == ShareStore.WriteResult.WRITTEN && share.term().equals(lease.term(clock.getAsLong()))) {
-            hold(account, holding, former, share);
+            activate(account, holding, previousRecord, share);
         }
     }
 
-    private void hold(String account, Holding holding, Optional<QuotaShare> former, QuotaShare share) {
-        holding.bucket = bucket(account, holding, former, share);
+    private void activate(String account, Holding holding, Optional<QuotaShare> previousRecord, QuotaShare share) {
+        holding.bucket = bucketFor(account, holding, previousRecord, share);
         holding.share = share;
         holding.parts = share.parts();
         applyTerms(account, holding);
@@ -194,40 +198,44 @@
     }
 
     /**
-     * The bucket of a share that was acquired. Whoever takes over the share of a lapsed lease removes its record, so a
-     * record that is still there proves that nobody else has spent what it stands for: a VM that comes back from an outage
-     * goes on with its bucket, and a new process counts what its share has earned since the process began.
+     * Returns the bucket for a share that was just acquired. A VM that takes over the share of an expired lease removes
+     * its record. A record that still exists therefore proves that no other VM has spent its tokens: a VM that recovers
+     * from an outage keeps its bucket, and a restarted process is credited with what its share has earned since the
+     * process started.
      */
-    private TokenBucket bucket(String account, Holding holding, Optional<QuotaShare> former, QuotaShare share) {
+    private TokenBucket bucketFor(
+            String account, Holding holding, Optional<QuotaShare> previousRecord, QuotaShare share) {
         if (holding.share == null) {
-            return former.map(record -> bucketSinceStart(account, Math.min(record.parts(), share.parts())))
+            return previousRecord
+                    .map(record -> bucketSinceStart(account, Math.min(record.parts(), share.parts())))
                     .orElseGet(() -> TokenBucket.create(clock.getAsLong()));
         }
-        boolean uninterrupted = share.term().equals(holding.share.term()) || former.equals(Optional.of(holding.share));
+        boolean uninterrupted =
+                share.term().equals(holding.share.term()) || previousRecord.equals(Optional.of(holding.share));
         return uninterrupted ? holding.bucket : TokenBucket.create(clock.getAsLong());
     }
 
     private TokenBucket bucketSinceStart(String account, int parts) {
         TokenBucket bucket = TokenBucket.create(createdMillis);
-        limit(account, bucket, createdMillis, parts);
+        applyLimits(account, bucket, createdMillis, parts);
         return bucket;
     }
 
     private void applyTerms(String account, Holding holding) {
         if (holding.bucket != null) {
-            limit(account, holding.bucket, clock.getAsLong(), holding.parts);
+            applyLimits(account, holding.bucket, clock.getAsLong(), holding.parts);
         }
     }
 
-    private void limit(String account, TokenBucket bucket, long nowMillis, int parts) {
+    private void applyLimits(String account, TokenBucket bucket, long nowMillis, int parts) {
         QuotaTerms quota = accounts.get(account);
         if (quota != null) {
             double part = parts / (double) ALL_PARTS;
-            bucket.limit(nowMillis, quota.ratePerSecond() * part, quota.burst() * part);
+            bucket.setLimits(nowMillis, quota.ratePerSecond() * part, quota.burst() * part);
         }
     }
 
-    /** Parts of an account that this VM may use now. */
+    /** Number of parts of an account that this VM may use now. */
     public int parts(String account) {
         Holding holding = holdings.get(account);
         long now = clock.getAsLong();
@@ -235,7 +243,7 @@
         return held && lease.term(now).equals(holding.share.term()) ? holding.parts : 0;
     }
 
-    /** Takes a token from this VM's share, which may still have to be earned. */
+    /** Takes a token from this VM's share, possibly one that is only earned within the maximum wait. */
     public TokenOffer reserve(String account, long maximumWaitMillis) {
         if (parts(account) == 0) {
             return TokenOffer.NONE;
@@ -243,20 +251,20 @@
         return holdings.get(account).bucket.reserve(clock.getAsLong(), maximumWaitMillis);
     }
 
-    /** The VMs to ask for a token of the account, in this order; this VM may be one of them. */
+    /** The VMs to ask for a token of the account, in this order. This VM may be one of them. */
     public List<String> candidates(String account) {
         return allocation.candidates(account);
     }
 
-    /** Whether this VM holds all that it should own. */
+    /** Whether this VM's lease is in force and it holds exactly the shares that it should own. */
     public boolean settled() {
         return lease.inForce(clock.getAsLong()) && accounts.keySet().stream().allMatch(this::isSettled);
     }
 
-    /** Whether this VM uses the share that it should own, and the store's record agrees. */
+    /** Whether this VM uses exactly the share that it should own, and the store's record agrees. */
     private boolean isSettled(String account) {
         Holding holding = holdings.get(account);
-        int target = target(account);
+        int target = targetParts(account);
         if (holding == null) {
             return target == 0;
         }
--- a/core/src/main/java/org/quetzalshunt/core/quota/QuotaTerms.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/QuotaTerms.java
@@ -3,7 +3,7 @@
 /**
  * An account's quota over the whole fleet.
  *
- * @param ratePerSecond requests a second
- * @param burst requests beyond that at once
+ * @param ratePerSecond sustained requests per second
+ * @param burst requests that may come at once, beyond the sustained rate
  */
 public record QuotaTerms(double ratePerSecond, double burst) {}
--- a/core/src/main/java/org/quetzalshunt/core/quota/ShareAllocation.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/ShareAllocation.java
@@ -7,23 +7,23 @@
 import org.quetzalshunt.core.membership.Rendezvous;
 
 /**
- * Which VMs own an account's quota: by rendezvous hashing over the members of the fleet, so that all VMs with the same
- * members agree and a VM that comes or goes moves only the accounts that it wins or loses.
+ * Decides which VMs own an account's quota, by rendezvous hashing over the members of the fleet. All VMs with the same
+ * view of the members agree, and a VM that joins or leaves moves only the accounts that it gains or loses.
  *
- * <p>Load pattern: programs, which send a handful of calls at once through one VM and then none. Split over all VMs by
- * demand, one VM's share holds no such handful, and calls are rejected though the account is within its quota. With two
- * owners nearly the whole burst is behind every VM, and the loss of one leaves a part of the rate until its lease has run
- * out.
+ * <p>Load pattern: a program sends a burst of calls through one VM and is then idle. If the quota were split over all
+ * VMs by demand, no VM's share would cover such a burst, and calls would be rejected although the account is within its
+ * quota. With two owners, every VM can draw on nearly the whole burst, and if one owner fails, the other still serves
+ * its part of the rate until the failed owner's lease has expired.
  */
 final class ShareAllocation {
-    /** The whole of an account's rate and burst. */
+    /** Number of parts that make up the whole of an account's rate and burst. */
     static final int ALL_PARTS = 10_000;
 
-    /** For the primary owner, which is asked first, and the secondary. */
+    /** Parts of the primary owner, which is asked first, and of the secondary owner. */
     private static final int[] OWNER_PARTS = {6_670, 3_330};
 
-    /** The owners, and one that was an owner before a VM joined and may hold its share still. */
-    private static final int CANDIDATES = 3;
+    /** The two owners, and one VM that was an owner before another VM joined and may still hold its share. */
+    private static final int CANDIDATE_COUNT = 3;
 
     private final String self;
     private final Map<String, List<String>> candidatesByAccount = new HashMap<>();
@@ -34,7 +34,7 @@
         this.members = List.of(self);
     }
 
-    /** Allocates everything to this VM until it knows of peers. */
+    /** Creates an allocation in which this VM is the only member. */
     static ShareAllocation create(String self) {
         return new ShareAllocation(self);
     }
@@ -47,26 +47,26 @@
         }
     }
 
-    /** The VMs that may hold shares of the account, those that own most of it first. */
+    /** The VMs that may hold shares of the account, the primary owner first. */
     List<String> candidates(String account) {
-        return candidatesByAccount.computeIfAbsent(account, this::heaviest);
+        return candidatesByAccount.computeIfAbsent(account, this::rankCandidates);
     }
 
-    private List<String> heaviest(String account) {
+    private List<String> rankCandidates(String account) {
         Map<String, Long> weights = new HashMap<>();
         members.forEach(vm -> weights.put(vm, Rendezvous.weight(account, vm)));
         return members.stream()
                 .sorted(Comparator.comparingLong((String vm) -> -weights.get(vm))
                         .thenComparing(Comparator.naturalOrder()))
-                .limit(CANDIDATES)
+                .limit(CANDIDATE_COUNT)
                 .toList();
     }
 
     /**
-     * The parts of an account that this VM should hold. A share of less than one token could never be spent, so the
-     * primary owner has all of a small burst.
+     * Number of parts of an account that this VM should hold. A share of less than one token could never be spent, so
+     * the primary owner gets the whole of a small burst.
      */
-    int target(String account, double burst) {
+    int targetParts(String account, double burst) {
         int rank = candidates(account).indexOf(self);
         if (rank < 0 || rank >= OWNER_PARTS.length) {
             return 0;
--- a/core/src/main/java/org/quetzalshunt/core/quota/ShareStore.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/ShareStore.java
@@ -4,32 +4,32 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Where the shares of all accounts are recorded. Answers come on the caller's event loop, once. */
+/** Store of the recorded shares of all accounts. Each listener is called exactly once, on the caller's event loop. */
 public interface ShareStore {
     /**
      * The recorded shares of one account.
      *
-     * @param shares by VM
-     * @param end end of the records' log, for a write that expects it
+     * @param shares shares by VM
+     * @param end end offset of the account's log, which a conditional write must name
      */
     record Page(Map<String, QuotaShare> shares, long end) {}
 
-    /** What came of a write. */
+    /** Result of a write. */
     enum WriteResult {
         WRITTEN,
-        /** Others have written since; nothing was. */
+        /** Another write came first, so nothing was written. */
         CONFLICT,
-        /** It may have been written, or be written later if its condition still holds. */
+        /** The write may have happened, or may still happen later if its condition holds then. */
         UNKNOWN
     }
 
-    /** Reads the shares of an account; empty when the store did not answer. */
+    /** Reads the shares of an account. The result is empty if the store did not answer. */
     void read(String account, Consumer<Optional<Page>> listener);
 
     /**
-     * Records shares of an account, all or none, if the log still ends where it was read.
+     * Records shares of an account atomically, on condition that the log still ends at the expected offset.
      *
-     * @param changes new shares by VM; an empty one is removed
+     * @param changes new shares by VM; an empty value removes the VM's record
      */
     void write(
             String account,
--- a/core/src/main/java/org/quetzalshunt/core/quota/TokenBucket.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/TokenBucket.java
@@ -1,70 +1,70 @@
 package org.quetzalshunt.core.quota;
 
 /**
- * A token bucket whose rate and room are a part of an account's. Starts empty, so that a restart earns no burst; a part
- * that grows brings no tokens, one that shrinks loses what no longer fits.
+ * A token bucket for a VM's share of an account's rate and burst. It starts empty, so that a restart does not grant a
+ * burst. A larger share adds no tokens; a smaller share discards the tokens above the new capacity.
  */
 public final class TokenBucket {
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private double level;
+    private double tokens;
     private double ratePerSecond;
     private double capacity;
-    private long filledMillis;
+    private long refilledMillis;
 
     private TokenBucket(long nowMillis) {
-        this.filledMillis = nowMillis;
+        this.refilledMillis = nowMillis;
     }
 
-    /** An empty bucket. */
+    /** Creates an empty bucket. */
     public static TokenBucket create(long nowMillis) {
         return new TokenBucket(nowMillis);
     }
 
-    /** Puts another rate and room in force. */
-    public void limit(long nowMillis, double newRatePerSecond, double newCapacity) {
-        fill(nowMillis);
+    /** Sets the rate and the capacity. */
+    public void setLimits(long nowMillis, double newRatePerSecond, double newCapacity) {
+        refill(nowMillis);
         ratePerSecond = newRatePerSecond;
         capacity = newCapacity;
-        level = Math.min(level, capacity);
+        tokens = Math.min(tokens, capacity);
     }
 
-    /** Takes a token, if there is one. */
+    /** Takes a token if one is available. */
     public boolean take(long nowMillis) {
-        fill(nowMillis);
-        if (level < 1) {
+        refill(nowMillis);
+        if (tokens < 1) {
             return false;
         }
-        level -= 1;
+        tokens -= 1;
         return true;
     }
 
     /**
-     * Takes a token that may still have to be earned. Answers a handful of calls that come at once beyond the burst:
-     * spread over a moment they fit, while a refusal costs their caller more than the wait.
+     * Takes a token, possibly one that has yet to be earned. Without such reservations, a few simultaneous calls beyond
+     * the burst would be refused, which costs their callers more than the short wait.
      *
-     * @param mostMillis longest wait, in milliseconds; beyond it nothing is taken
+     * @param maximumWaitMillis longest acceptable wait, in milliseconds; if the token takes longer, none is taken
      */
-    public TokenOffer reserve(long nowMillis, long mostMillis) {
-        fill(nowMillis);
-        if (level >= 1) {
-            level -= 1;
+    public TokenOffer reserve(long nowMillis, long maximumWaitMillis) {
+        refill(nowMillis);
+        if (tokens >= 1) {
+            tokens -= 1;
             return TokenOffer.taken(0);
         }
         if (ratePerSecond <= 0) {
             return TokenOffer.NONE;
         }
-        long wait = (long) Math.ceil((1 - level) / ratePerSecond * MILLIS_PER_SECOND);
-        if (wait > mostMillis) {
+        long wait = (long) Math.ceil((1 - tokens) / ratePerSecond * MILLIS_PER_SECOND);
+        if (wait > maximumWaitMillis) {
             return TokenOffer.unavailableFor(wait);
         }
-        level -= 1;
+        tokens -= 1;
         return TokenOffer.taken(wait);
     }
 
-    private void fill(long nowMillis) {
-        long elapsed = Math.max(0, nowMillis - filledMillis);
-        filledMillis = nowMillis;
-        level = Math.min(capacity, level + ratePerSecond * elapsed / MILLIS_PER_SECOND);
+    private void refill(long nowMillis) {
+        long elapsed = Math.max(0, nowMillis - refilledMillis);
+        refilledMillis = nowMillis;
+        tokens = Math.min(capacity, tokens + ratePerSecond * elapsed / MILLIS_PER_SECOND);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/quota/TokenSearch.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/TokenSearch.java
@@ -4,92 +4,96 @@
 import java.util.function.Consumer;
 
 /**
- * Looks for one token of an account among the VMs that hold parts of its rate: each is asked for one that is there now,
- * and only when none has one, the holder with the shortest wait for one that is still to be earned.
+ * Requests one token of an account from the VMs that hold shares of its quota. Each holder is first asked for a token
+ * that is available now. If none has one, the holder with the shortest wait is asked for a token that has yet to be
+ * earned.
  *
- * <p>Load pattern: handfuls of calls of one account at once, more than its first holder has tokens for. Asked with the
- * whole wait in order, the first holder sells tokens of its next 750 ms while the second, with a third of the burst, has
- * them ready: every turn of an account near its rate is late by that wait, and a program of nine turns by nine.
+ * <p>Load pattern: several calls of one account arrive at once, more than the first holder has tokens for. If each
+ * holder in turn were asked with the whole wait, the first would grant its tokens of the next 750 ms while the second,
+ * with a third of the burst, has tokens available. Every turn of an account near its rate would then be late by that
+ * wait, and a program of nine turns by nine such waits.
  */
 public final class TokenSearch {
-    /** What came of a search. */
+    /** Result of a search. */
     public sealed interface Result {
         /** A token that may be used after a wait. */
         record Granted(long waitMillis) implements Result {}
 
-        /** The account is over its quota; a token would have been there after this time. */
+        /** The account is over its quota. The shortest wait for a token of any holder would have been this long. */
         record OverQuota(long shortestMillis) implements Result {}
 
-        /** No VM that holds a share of the quota answered: nothing is known of the account. */
+        /** No VM that holds a share of the quota answered, so it is unknown whether the account is within its quota. */
         record NoHolder() implements Result {}
     }
 
-    /** Asks one holder for a token. */
+    /** Requests a token from one holder. */
     @FunctionalInterface
-    public interface Asking {
-        /** Asks; the answer comes now or later, once. */
-        void ask(String holder, long maximumWaitMillis, Consumer<TokenOffer> answer);
+    public interface TokenRequester {
+        /** Sends the request. The answer is passed on exactly once, before or after this method returns. */
+        void request(String holder, long maximumWaitMillis, Consumer<TokenOffer> answer);
     }
 
     private final List<String> holders;
     private final long maximumWaitMillis;
-    private final Asking asking;
+    private final TokenRequester requester;
     private final Consumer<Result> listener;
-    private int best = -1;
-    private long shortestMillis = TokenOffer.NEVER;
+    private int bestIndex = -1;
+    private long shortestWaitMillis = TokenOffer.NEVER;
 
-    private TokenSearch(List<String> holders, long maximumWaitMillis, Asking asking, Consumer<Result> listener) {
+    private TokenSearch(
+            List<String> holders, long maximumWaitMillis, TokenRequester requester, Consumer<Result> listener) {
         this.holders = holders;
         this.maximumWaitMillis = maximumWaitMillis;
-        this.asking = asking;
+        this.requester = requester;
         this.listener = listener;
     }
 
     /**
      * Starts a search.
      *
-     * @param holders VMs to ask, those that hold most first
-     * @param maximumWaitMillis longest wait that the request can bear
-     * @param listener receives the result, once
+     * @param holders VMs to ask, in descending order of their shares
+     * @param maximumWaitMillis longest time that the request can wait
+     * @param listener receives the result, exactly once
      */
-    public static void start(List<String> holders, long maximumWaitMillis, Asking asking, Consumer<Result> listener) {
-        new TokenSearch(holders, maximumWaitMillis, asking, listener).ask(0);
+    public static void start(
+            List<String> holders, long maximumWaitMillis, TokenRequester requester, Consumer<Result> listener) {
+        new TokenSearch(holders, maximumWaitMillis, requester, listener).ask(0);
     }
 
     private void ask(int index) {
         if (index == holders.size()) {
-            askBest();
+            askBestHolder();
             return;
         }
-        asking.ask(holders.get(index), 0, offer -> {
+        requester.request(holders.get(index), 0, offer -> {
             if (offer.taken()) {
                 listener.accept(new Result.Granted(offer.waitMillis()));
                 return;
             }
-            if (offer.waitMillis() < shortestMillis) {
-                shortestMillis = offer.waitMillis();
-                best = index;
+            if (offer.waitMillis() < shortestWaitMillis) {
+                shortestWaitMillis = offer.waitMillis();
+                bestIndex = index;
             }
             ask(index + 1);
         });
     }
 
-    private void askBest() {
-        if (best < 0) {
+    private void askBestHolder() {
+        if (bestIndex < 0) {
             listener.accept(new Result.NoHolder());
             return;
         }
-        if (shortestMillis > maximumWaitMillis) {
-            listener.accept(new Result.OverQuota(shortestMillis));
+        if (shortestWaitMillis > maximumWaitMillis) {
+            listener.accept(new Result.OverQuota(shortestWaitMillis));
             return;
         }
-        asking.ask(holders.get(best), maximumWaitMillis, offer -> listener.accept(result(offer)));
+        requester.request(holders.get(bestIndex), maximumWaitMillis, offer -> listener.accept(result(offer)));
     }
 
-    /** The holder's answer to the second request: others may have been served meanwhile. */
+    /** Result of the second request to the best holder, which may have granted tokens to others since the first. */
     private Result result(TokenOffer offer) {
         return offer.taken()
                 ? new Result.Granted(offer.waitMillis())
-                : new Result.OverQuota(Math.min(offer.waitMillis(), shortestMillis));
+                : new Result.OverQuota(Math.min(offer.waitMillis(), shortestWaitMillis));
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/quota/VmLease.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/VmLease.java
@@ -1,12 +1,12 @@
 package org.quetzalshunt.core.quota;
 
 /**
- * This VM's lease on the quota shares that it holds. A heartbeat that the store acknowledged renews it, counted from when
- * the heartbeat was sent; a renewal that is acknowledged only after the lease has run out does not count, and a new term
- * begins in which nothing is held yet.
+ * This VM's lease on its quota shares. A heartbeat that the store acknowledges renews the lease, counted from the time
+ * at which the heartbeat was sent. An acknowledgement that arrives after the lease has expired is ignored: a new term
+ * begins, in which this VM holds no shares yet.
  *
- * <p>The holder's lease is shorter than the time for which peers respect it ({@link PeerTable#OBSERVED_MILLIS}). Each side
- * measures on its own monotonic clock, so the holder always stops first.
+ * <p>The holder's lease is shorter than the time for which peers respect it ({@link PeerTable#LEASE_OBSERVATION_MILLIS}). Each
+ * side measures on its own monotonic clock, so the holder always stops using its shares before a peer takes them over.
  */
 public final class VmLease {
     /** Keys expire after five seconds without the store, so a longer lease would serve no request. */
@@ -15,7 +15,7 @@
     /** The epoch of a process's first lease. */
     public static final long FIRST_EPOCH = 1;
 
-    /** A third of the lease: one heartbeat may be lost. */
+    /** A third of the lease: one heartbeat may be lost without loss of the lease. */
     private static final long RENEWAL_MILLIS = 2_000;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -31,17 +31,17 @@
         this.linkAddress = linkAddress;
     }
 
-    /** A lease that is not in force yet. */
+    /** Creates a lease that is not in force yet. */
     public static VmLease create(long incarnation, String linkAddress) {
         return new VmLease(incarnation, linkAddress);
     }
 
-    /** Whether shares of the present term may be used. */
+    /** Whether shares of the current term may be used. */
     public boolean inForce(long nowMillis) {
         return nowMillis - renewedMillis < LEASE_MILLIS;
     }
 
-    /** The present term; a lease that has run out begins a new one. */
+    /** The current term. If the lease has expired, this begins a new term. */
     public LeaseTerm term(long nowMillis) {
         if (renewedMillis != NEVER && !inForce(nowMillis)) {
             lapse();
@@ -49,31 +49,33 @@
         return new LeaseTerm(incarnation, epoch);
     }
 
-    /** Whether a heartbeat should be sent. */
+    /** Whether the next heartbeat is due. */
     public boolean renewalDue(long nowMillis) {
         return nowMillis - renewedMillis >= RENEWAL_MILLIS;
     }
 
-    /** The next heartbeat to send. */
+    /** Creates the next heartbeat to send. */
     public VmHeartbeat nextHeartbeat(long nowMillis) {
         LeaseTerm term = term(nowMillis);
         return new VmHeartbeat(term.incarnation(), term.epoch(), ++sequence, linkAddress, false);
     }
 
-    /** The heartbeat of a graceful shutdown, with which peers may take over all shares at once. */
+    /**
+     * Ends the lease and creates the heartbeat of a graceful shutdown, on which peers may take over all shares at once.
+     */
     public VmHeartbeat lastHeartbeat() {
         lapse();
         return new VmHeartbeat(incarnation, epoch, ++sequence, linkAddress, true);
     }
 
-    /** The store acknowledged a heartbeat. */
+    /** Handles the store's acknowledgement of a heartbeat. */
     public void renewed(long nowMillis, long sentMillis, VmHeartbeat heartbeat) {
         if (term(nowMillis).epoch() == heartbeat.epoch()) {
             renewedMillis = Math.max(renewedMillis, sentMillis);
         }
     }
 
-    /** Ends the lease at once, as after a pause of the process of unknown length. */
+    /** Ends the lease at once, for example after a pause of the process of unknown length. */
     public void lapse() {
         epoch++;
         renewedMillis = NEVER;
--- a/core/src/main/java/org/quetzalshunt/core/quota/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/package-info.java
@@ -1,2 +1,2 @@
-/** Rates of client accounts over the whole fleet: each VM holds parts of them, as records of the shared map. */
+/** Rate limits of client accounts over the whole fleet: each VM holds shares of them, recorded in the shared map. */
 package org.quetzalshunt.core.quota;
--- a/core/src/test/java/org/quetzalshunt/core/quota/OutageWaitPolicyTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/quota/OutageWaitPolicyTest.java
@@ -7,31 +7,34 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 final class OutageWaitPolicyTest {
-    /** Tries of one request of a caller, and how often a program sends a failed turn, as callers do it. */
-    private static final int TRIES = 2;
+    /** Attempts of a caller for one request. */
+    private static final int ATTEMPTS = 2;
+
+    /** How often a program sends a turn that fails. */
+    private static final int SENDS_PER_TURN = 3;
 
-    private static final int SENDS = 3;
     private static final long PAUSE_MILLIS = 100;
 
     /**
-     * The shared map is away for seven seconds. A turn that is sent at its beginning is tried until the caller's tries are
-     * used up; called back after 900 ms each time, the last of them came 3.2 s after the first, and its program was lost.
+     * Guards against a turn that uses up all of its attempts within an outage of the store, which loses its program.
+     * With a retry delay of 900 ms, the last attempt came 3.2 s after the first, while the outage lasted seven seconds.
      */
     @ParameterizedTest
     @CsvSource({"4000, 7000", "3000, 5000"})
-    void triesOfOneTurnReachOverAnOutage(long deadlineMillis, long outageMillis) {
+    void attemptsOfOneTurnOutlastAnOutage(long deadlineMillis, long outageMillis) {
         Random random = new Random(3);
         double now = 0;
-        for (int send = 0; send < SENDS; send++) {
-            double left = deadlineMillis;
-            for (int attempt = 0; attempt < TRIES; attempt++) {
-                long wait = OutageWaitPolicy.maximumWaitMillis((long) left);
+        for (int send = 0; send < SENDS_PER_TURN; send++) {
+            double remaining = deadlineMillis;
+            for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+                long wait = OutageWaitPolicy.maximumWaitMillis((long) remaining);
                 now += wait;
-                left -= wait;
-                long back =
-                        attempt + 1 < TRIES ? OutageWaitPolicy.retryAfterMillis((long) left, random.nextDouble()) : 0;
-                now += back;
-                left -= back;
+                remaining -= wait;
+                long delay = attempt + 1 < ATTEMPTS
+                        ? OutageWaitPolicy.retryAfterMillis((long) remaining, random.nextDouble())
+                        : 0;
+                now += delay;
+                remaining -= delay;
             }
             now += PAUSE_MILLIS;
         }
@@ -40,7 +43,7 @@
 
     @ParameterizedTest
     @CsvSource({"10000, 1200", "1200, 360", "0, 0"})
-    void waitIsPartOfTheTimeAndBelowWhatStreamsBear(long left, long most) {
-        assertThat(OutageWaitPolicy.maximumWaitMillis(left)).isEqualTo(most);
+    void waitIsAFractionOfTheRemainingTimeAndBounded(long remaining, long expected) {
+        assertThat(OutageWaitPolicy.maximumWaitMillis(remaining)).isEqualTo(expected);
     }
 }
--- a/core/src/test/java/org/quetzalshunt/core/quota/ProgramStartsTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/quota/ProgramStartsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** An account beyond its quota: who takes its tokens, beginnings of programs or programs under way. */
+/** Simulates an account beyond its quota, whose tokens go either to running programs or to the start of new ones. */
 final class ProgramStartsTest {
     private static final long CALLER_MILLIS = 3_000;
     private static final long TURN_MILLIS = 126;
@@ -19,19 +19,19 @@
     private static final int TOKENS = TURNS + (TURNS - 1) * TOOLS;
     private static final long IDLE_MILLIS = TURNS * TURN_MILLIS + (TURNS - 1) * (TOOL_MILLIS + THINK_MILLIS);
     private static final long OBJECTIVE_MILLIS = IDLE_MILLIS * 3 / 2 + 200;
-    private static final long PLAYED_MILLIS = 40_000;
+    private static final long SIMULATED_MILLIS = 40_000;
     private static final int TRIES = 6;
 
-    /** How long a request may wait for a token, in milliseconds. */
-    private interface Rule {
+    /** Decides how long a request may wait for a token, in milliseconds. */
+    private interface WaitRule {
         long maximumWaitMillis(boolean beginsProgram);
     }
 
-    private static long startsNow(boolean beginsProgram) {
-        return beginsProgram ? QuotaWaitPolicy.START_WAIT_MILLIS : waits(false);
+    private static long noWaitForStarts(boolean beginsProgram) {
+        return beginsProgram ? QuotaWaitPolicy.START_WAIT_MILLIS : waitForStarts(false);
     }
 
-    private static long waits(boolean beginsProgram) {
+    private static long waitForStarts(boolean beginsProgram) {
         return QuotaWaitPolicy.maximumWaitMillis(beginsProgram, false, CALLER_MILLIS);
     }
 
@@ -42,27 +42,27 @@
         }
     }
 
-    /** Programs of one account that arrive at random and go on turn by turn. */
-    private static final class Play {
+    /** Simulates programs of one account that arrive at random and execute turn by turn. */
+    private static final class Simulation {
         private final PriorityQueue<Event> events = new PriorityQueue<>();
         private final TokenBucket bucket = TokenBucket.create(0);
         private final Random random;
-        private final Rule rule;
+        private final WaitRule rule;
         private long now;
         private long order;
-        private int begun;
+        private int started;
         private int inTime;
         private int served;
 
-        Play(double rate, double load, Rule rule, long seed) {
+        Simulation(double rate, double load, WaitRule rule, long seed) {
             this.random = new Random(seed);
             this.rule = rule;
-            bucket.limit(0, rate, rate);
+            bucket.setLimits(0, rate, rate);
             double meanMillis = 1_000 * TOKENS / (rate * load);
-            for (double at = 0; at < PLAYED_MILLIS; at -= meanMillis * Math.log(1 - random.nextDouble())) {
+            for (double at = 0; at < SIMULATED_MILLIS; at -= meanMillis * Math.log(1 - random.nextDouble())) {
                 long arrival = (long) at;
                 at(arrival, () -> turn(arrival, 0, 0));
-                begun++;
+                started++;
             }
             while (!events.isEmpty()) {
                 Event event = events.poll();
@@ -106,38 +106,38 @@
         }
     }
 
-    private static double inTime(double rate, double load, Rule rule) {
+    private static double inTime(double rate, double load, WaitRule rule) {
         double share = 0;
         for (long seed = 1; seed <= 5; seed++) {
-            Play play = new Play(rate, load, rule, seed);
-            share += (double) play.inTime / play.begun / 5;
+            Simulation simulation = new Simulation(rate, load, rule, seed);
+            share += (double) simulation.inTime / simulation.started / 5;
         }
         return share;
     }
 
-    private static double served(double rate, double load, Rule rule) {
+    private static double served(double rate, double load, WaitRule rule) {
         double share = 0;
         for (long seed = 1; seed <= 5; seed++) {
-            Play play = new Play(rate, load, rule, seed);
-            share += (double) play.served / play.begun / 5;
+            Simulation simulation = new Simulation(rate, load, rule, seed);
+            share += (double) simulation.served / simulation.started / 5;
         }
         return share;
     }
 
-    /** Guards against an account beyond its quota whose tokens all go to programs that are late. */
+    /** Guards against an account beyond its quota that spends all its tokens on programs that finish late. */
     @ParameterizedTest
     @CsvSource({"20, 1.3", "20, 2.5", "60, 1.3", "60, 2.5", "200, 1.3", "200, 4"})
     void moreProgramsFinishInTimeWhereStartsDoNotWait(double rate, double load) {
-        double waiting = inTime(rate, load, ProgramStartsTest::waits);
-        double now = inTime(rate, load, ProgramStartsTest::startsNow);
-        assertWithMessage("in time, waiting " + waiting).that(now).isAtLeast(1.1 * waiting);
+        double withWait = inTime(rate, load, ProgramStartsTest::waitForStarts);
+        double withoutWait = inTime(rate, load, ProgramStartsTest::noWaitForStarts);
+        assertWithMessage("in time, waiting " + withWait).that(withoutWait).isAtLeast(1.1 * withWait);
     }
 
-    /** Guards against programs that are refused though their account is within its quota. */
+    /** Guards against programs that are rejected although their account is within its quota. */
     @ParameterizedTest
     @CsvSource({"20, 0.6", "60, 0.8", "200, 0.9"})
     void accountWithinItsQuotaLosesNothing(double rate, double load) {
-        assertThat(served(rate, load, ProgramStartsTest::startsNow))
-                .isAtLeast(served(rate, load, ProgramStartsTest::waits) - 0.02);
+        assertThat(served(rate, load, ProgramStartsTest::noWaitForStarts))
+                .isAtLeast(served(rate, load, ProgramStartsTest::waitForStarts) - 0.02);
     }
 }
--- a/core/src/test/java/org/quetzalshunt/core/quota/QuotaFleet.java
+++ b/core/src/test/java/org/quetzalshunt/core/quota/QuotaFleetSimulation.java
@@ -12,26 +12,27 @@
 import java.util.function.LongPredicate;
 
 /**
- * VMs that share quotas through a store, in virtual time. The store takes its time for each append of a shard, may be
- * unavailable to all or some VMs, and may lose answers; what an unanswered append asked for is done at once, later or never.
+ * Simulates VMs that share quotas through a store, in virtual time. The store takes a fixed time for each append to a
+ * shard, may be unavailable to some or all VMs, and may lose answers. An append without an answer is executed at once,
+ * later or never.
  */
-final class QuotaFleet {
-    private static final long WAY_MILLIS = 2;
+final class QuotaFleetSimulation {
+    private static final long ONE_WAY_MILLIS = 2;
     private static final long APPEND_MILLIS = 2;
-    private static final long UNANSWERED_MILLIS = 150;
-    private static final int LATEST_MILLIS = 9_000;
+    private static final long TIMEOUT_MILLIS = 150;
+    private static final int MAXIMUM_DELAY_MILLIS = 9_000;
     private static final int SHARDS = 96;
 
     private record Event(long atMillis, long order, Runnable action) {}
 
-    /** A log of records, and the newest one of each key. */
+    /** A log of records, and the newest record of each key. */
     private static final class Shard {
         final Map<String, QuotaShare> shares = new HashMap<>();
         long end;
-        long freeMillis;
+        long busyUntilMillis;
     }
 
-    /** One VM: its clock may run fast or slow by a small part. */
+    /** One VM. Its clock may run slightly fast or slow. */
     final class Vm {
         final String name;
         private final double clockRate;
@@ -65,7 +66,7 @@
             leases = QuotaLeases.create(
                     name, this::clock, peers, lease, new Store(this, incarnation), (account, parts) -> {});
             leases.setAccounts(quotas);
-            round(incarnation);
+            pollHeartbeats(incarnation);
         }
 
         void kill() {
@@ -78,7 +79,7 @@
             }
             stopping = true;
             VmHeartbeat last = lease.lastHeartbeat();
-            call(this, incarnation, () -> appendHeartbeat(name, last), false, acknowledged -> {});
+            callStore(this, incarnation, () -> appendHeartbeat(name, last), false, acknowledged -> {});
         }
 
         boolean serves() {
@@ -89,17 +90,17 @@
             return serves() ? leases.parts(account) : 0;
         }
 
-        private void round(long life) {
-            if (life != incarnation || !serves()) {
+        private void pollHeartbeats(long processIncarnation) {
+            if (processIncarnation != incarnation || !serves()) {
                 return;
             }
             if (now < frozenUntilMillis) {
-                at(frozenUntilMillis, () -> round(life));
+                at(frozenUntilMillis, () -> pollHeartbeats(processIncarnation));
                 return;
             }
             long sent = clock();
             boolean snapshot = nextHeartbeat == 0 || random.nextInt(20) == 0;
-            call(this, life, () -> read(nextHeartbeat, snapshot), true, answer -> {
+            callStore(this, processIncarnation, () -> read(nextHeartbeat, snapshot), true, answer -> {
                 answer.ifPresent(page -> {
                     page.heartbeats().forEach(each -> peers.onHeartbeat(clock(), each.vm(), each.heartbeat()));
                     nextHeartbeat = page.end();
@@ -108,21 +109,21 @@
                     }
                     peers.onReadComplete(sent);
                     leases.settle();
-                    renew(life);
+                    renew(processIncarnation);
                 });
-                boolean calm = lease.inForce(clock()) && leases.settled();
-                at(now + RenewalInterval.nextMillis(calm), () -> round(life));
+                boolean settled = lease.inForce(clock()) && leases.settled();
+                at(now + RenewalInterval.nextMillis(settled), () -> pollHeartbeats(processIncarnation));
             });
         }
 
-        private void renew(long life) {
+        private void renew(long processIncarnation) {
             if (sending || !lease.renewalDue(clock())) {
                 return;
             }
             sending = true;
             long sent = clock();
             VmHeartbeat heartbeat = lease.nextHeartbeat(sent);
-            call(this, life, () -> appendHeartbeat(name, heartbeat), false, acknowledged -> {
+            callStore(this, processIncarnation, () -> appendHeartbeat(name, heartbeat), false, acknowledged -> {
                 sending = false;
                 if (acknowledged.isPresent()) {
                     lease.renewed(clock(), sent, heartbeat);
@@ -134,23 +135,23 @@
         }
     }
 
-    private record HeartbeatPage(List<Sent> heartbeats, int end) {}
+    private record HeartbeatPage(List<SentHeartbeat> heartbeats, int end) {}
 
-    private record Sent(String vm, VmHeartbeat heartbeat) {}
+    private record SentHeartbeat(String vm, VmHeartbeat heartbeat) {}
 
-    /** The store as one life of one VM sees it. */
+    /** The store as seen by one process of one VM. */
     private final class Store implements ShareStore {
         private final Vm vm;
-        private final long life;
+        private final long processIncarnation;
 
-        Store(Vm vm, long life) {
+        Store(Vm vm, long processIncarnation) {
             this.vm = vm;
-            this.life = life;
+            this.processIncarnation = processIncarnation;
         }
 
         @Override
         public void read(String account, Consumer<Optional<Page>> listener) {
-            call(vm, life, () -> page(account), true, listener);
+            callStore(vm, processIncarnation, () -> page(account), true, listener);
         }
 
         @Override
@@ -159,9 +160,9 @@
                 Map<String, Optional<QuotaShare>> changes,
                 long expectedEnd,
                 Consumer<WriteResult> listener) {
-            call(
+            callStore(
                     vm,
-                    life,
+                    processIncarnation,
                     () -> append(account, changes, expectedEnd),
                     false,
                     answer -> listener.accept(answer.orElse(WriteResult.UNKNOWN)));
@@ -175,18 +176,18 @@
             ? Long.compare(one.atMillis(), other.atMillis())
             : Long.compare(one.order(), other.order()));
     private final Map<Integer, Shard> shards = new HashMap<>();
-    private final List<Sent> heartbeats = new ArrayList<>();
+    private final List<SentHeartbeat> heartbeats = new ArrayList<>();
     private final Map<String, LongPredicate> unavailable = new HashMap<>();
-    /** Answers that nobody hears. */
-    private final List<Object> answers = new ArrayList<>();
+    /** Results of appends whose answers were lost. */
+    private final List<Object> lostResults = new ArrayList<>();
 
     private long order;
     long now;
-    double lostShare;
+    double lossProbability;
     int appends;
     int conflicts;
 
-    QuotaFleet(int size, Map<String, QuotaTerms> quotas, long seed) {
+    QuotaFleetSimulation(int size, Map<String, QuotaTerms> quotas, long seed) {
         this.quotas = quotas;
         this.random = new Random(seed);
         for (int number = 0; number < size; number++) {
@@ -195,7 +196,7 @@
         }
     }
 
-    /** Quotas of as many accounts. */
+    /** Creates quotas for the given number of accounts. */
     static Map<String, QuotaTerms> accounts(int count) {
         Map<String, QuotaTerms> quotas = new TreeMap<>();
         for (int number = 0; number < count; number++) {
@@ -204,8 +205,8 @@
         return quotas;
     }
 
-    /** The store does not answer a VM in a time span. */
-    void cut(String vm, long fromMillis, long untilMillis) {
+    /** Makes the store unavailable to a VM in a time span. */
+    void disconnect(String vm, long fromMillis, long untilMillis) {
         LongPredicate former = unavailable.getOrDefault(vm, ignored -> false);
         unavailable.put(vm, at -> former.test(at) || (at >= fromMillis && at < untilMillis));
     }
@@ -214,7 +215,7 @@
         events.add(new Event(millis, order++, action));
     }
 
-    /** Plays until a moment; the check runs after each event. */
+    /** Runs the simulation up to a time; the check runs after each event. */
     void run(long untilMillis, Runnable check) {
         while (!events.isEmpty() && events.peek().atMillis() <= untilMillis) {
             Event event = events.poll();
@@ -233,48 +234,54 @@
         return vms.values().stream().mapToInt(vm -> vm.parts(account)).sum();
     }
 
-    private <T> void call(
-            Vm vm, long life, java.util.function.Supplier<T> work, boolean read, Consumer<Optional<T>> listener) {
-        Consumer<Optional<T>> answer = result -> deliver(vm, life, () -> listener.accept(result));
+    private <T> void callStore(
+            Vm vm,
+            long processIncarnation,
+            java.util.function.Supplier<T> work,
+            boolean read,
+            Consumer<Optional<T>> listener) {
+        Consumer<Optional<T>> answer = result -> deliver(vm, processIncarnation, () -> listener.accept(result));
         if (unavailable.getOrDefault(vm.name, ignored -> false).test(now)) {
-            at(now + UNANSWERED_MILLIS, () -> answer.accept(Optional.empty()));
+            at(now + TIMEOUT_MILLIS, () -> answer.accept(Optional.empty()));
             return;
         }
-        if (!read && random.nextDouble() < lostShare) {
-            int fate = random.nextInt(3);
-            if (fate > 0) {
-                at(now + (fate == 1 ? WAY_MILLIS : random.nextInt(LATEST_MILLIS)), () -> answers.add(work.get()));
+        if (!read && random.nextDouble() < lossProbability) {
+            int outcome = random.nextInt(3);
+            if (outcome > 0) {
+                at(
+                        now + (outcome == 1 ? ONE_WAY_MILLIS : random.nextInt(MAXIMUM_DELAY_MILLIS)),
+                        () -> lostResults.add(work.get()));
             }
-            at(now + UNANSWERED_MILLIS, () -> answer.accept(Optional.empty()));
+            at(now + TIMEOUT_MILLIS, () -> answer.accept(Optional.empty()));
             return;
         }
-        at(now + WAY_MILLIS, () -> {
+        at(now + ONE_WAY_MILLIS, () -> {
             T result = work.get();
-            at(now + WAY_MILLIS, () -> answer.accept(Optional.of(result)));
+            at(now + ONE_WAY_MILLIS, () -> answer.accept(Optional.of(result)));
         });
     }
 
-    /** A frozen VM hears its answers when it wakes; a killed one never. */
-    private void deliver(Vm vm, long life, Runnable action) {
-        if (vm.incarnation != life || !vm.alive) {
+    /** Delivers an answer. A frozen VM receives it when it resumes, a killed one never. */
+    private void deliver(Vm vm, long processIncarnation, Runnable action) {
+        if (vm.incarnation != processIncarnation || !vm.alive) {
             return;
         }
         if (now < vm.frozenUntilMillis) {
-            at(vm.frozenUntilMillis, () -> deliver(vm, life, action));
+            at(vm.frozenUntilMillis, () -> deliver(vm, processIncarnation, action));
             return;
         }
         action.run();
     }
 
     private Boolean appendHeartbeat(String vm, VmHeartbeat heartbeat) {
-        return heartbeats.add(new Sent(vm, heartbeat));
+        return heartbeats.add(new SentHeartbeat(vm, heartbeat));
     }
 
     private HeartbeatPage read(int from, boolean snapshot) {
         if (!snapshot) {
             return new HeartbeatPage(List.copyOf(heartbeats.subList(from, heartbeats.size())), heartbeats.size());
         }
-        Map<String, Sent> byVm = new TreeMap<>();
+        Map<String, SentHeartbeat> byVm = new TreeMap<>();
         heartbeats.forEach(each -> byVm.put(each.vm(), each));
         return new HeartbeatPage(List.copyOf(byVm.values()), heartbeats.size());
     }
@@ -296,7 +303,7 @@
 
     private ShareStore.WriteResult append(String account, Map<String, Optional<QuotaShare>> changes, long expectedEnd) {
         Shard shard = shard(account);
-        shard.freeMillis = Math.max(now, shard.freeMillis) + APPEND_MILLIS;
+        shard.busyUntilMillis = Math.max(now, shard.busyUntilMillis) + APPEND_MILLIS;
         appends++;
         if (shard.end != expectedEnd) {
             conflicts++;
--- a/core/src/test/java/org/quetzalshunt/core/quota/QuotaWaitPolicyTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/quota/QuotaWaitPolicyTest.java
@@ -11,14 +11,15 @@
     private static final long TURN_MILLIS = 3_000;
 
     /**
-     * A program of an account of eight a second starts helpers and tools: so many requests come at once, on an empty
-     * bucket. Each that is refused may end the program; each that waits must still have time to run.
+     * A running program of an account of eight requests per second starts helpers and tools, so that several requests
+     * arrive at once at an empty bucket. Guards against requests that are rejected, which may end the program, and
+     * against waits that leave too little time to run.
      */
     @ParameterizedTest
     @CsvSource({"4", "8", "12"})
-    void handfulOfAProgramUnderWayIsCarried(int requests) {
+    void simultaneousRequestsOfARunningProgramAreServed(int requests) {
         TokenBucket bucket = TokenBucket.create(0);
-        bucket.limit(0, RATE, RATE);
+        bucket.setLimits(0, RATE, RATE);
         long longest = 0;
         for (int request = 0; request < requests; request++) {
             TokenOffer offer = bucket.reserve(0, QuotaWaitPolicy.maximumWaitMillis(false, false, TURN_MILLIS));
@@ -28,11 +29,14 @@
         assertThat(longest).isAtMost(TURN_MILLIS / 2);
     }
 
-    /** The same account is that far behind already: a new program would make those under way late, and gives way. */
+    /**
+     * Guards against a new program that starts when its account is already far behind its rate and makes the running
+     * programs late.
+     */
     @Test
-    void accountFarBehindBeginsNoMorePrograms() {
+    void accountFarBehindItsRateStartsNoMorePrograms() {
         TokenBucket bucket = TokenBucket.create(0);
-        bucket.limit(0, RATE, RATE);
+        bucket.setLimits(0, RATE, RATE);
         for (int request = 0; request < 4; request++) {
             bucket.reserve(0, QuotaWaitPolicy.maximumWaitMillis(false, false, TURN_MILLIS));
         }
@@ -41,22 +45,22 @@
                 .isFalse();
     }
 
-    /** A moment's shortage: a program begins a little later, and its caller need not come back. */
+    /** Guards against a start that is rejected for a momentary shortage, where a short wait is enough. */
     @Test
-    void momentsShortageDelaysBeginnings() {
+    void momentaryShortageDelaysStarts() {
         TokenBucket bucket = TokenBucket.create(0);
-        bucket.limit(0, RATE, RATE);
+        bucket.setLimits(0, RATE, RATE);
         bucket.reserve(0, QuotaWaitPolicy.maximumWaitMillis(false, false, TURN_MILLIS));
         assertThat(bucket.reserve(0, QuotaWaitPolicy.maximumWaitMillis(true, false, TURN_MILLIS))
                         .taken())
                 .isTrue();
     }
 
-    /** Guards against urgent programs that are refused while less urgent ones of the same account begin. */
+    /** Guards against urgent programs that are rejected while less urgent ones of the same account start. */
     @Test
-    void urgentProgramsBeginWhereLessUrgentOnesAreRefused() {
+    void urgentProgramsStartWhereLessUrgentOnesAreRejected() {
         TokenBucket bucket = TokenBucket.create(0);
-        bucket.limit(0, RATE, RATE);
+        bucket.setLimits(0, RATE, RATE);
         while (bucket.reserve(0, QuotaWaitPolicy.maximumWaitMillis(true, false, TURN_MILLIS))
                 .taken()) {
             assertThat(bucket.reserve(0, 0).taken()).isFalse();
@@ -67,22 +71,22 @@
     }
 
     /**
-     * One account sends several times its usual for three seconds. Its beginnings beyond the rate were called back after a
-     * tenth of a second, and had used up their tries within one: refused for good while the burst still lasted.
+     * An account sends several times its usual load for three seconds. Guards against starts beyond the rate that retry
+     * after a tenth of a second and use up their attempts within one second, while the burst still lasts.
      */
     @ParameterizedTest
     @CsvSource({"0.0", "0.5", "1.0"})
-    void refusedBeginningsReachOverABurst(double chance) {
+    void retriesOfRejectedStartsOutlastABurst(double chance) {
         long sends = 3;
         long pauses = sends * 250;
-        long back = QuotaWaitPolicy.retryAfterMillis(true, 100, 4_000, chance);
-        assertThat(sends * back + pauses).isAtLeast(2_000);
-        assertThat(back).isAtMost(4_000 / 3);
+        long delay = QuotaWaitPolicy.retryAfterMillis(true, 100, 4_000, chance);
+        assertThat(sends * delay + pauses).isAtLeast(2_000);
+        assertThat(delay).isAtMost(4_000 / 3);
     }
 
     @ParameterizedTest
     @CsvSource({"5, 1000", "50, 200", "500, 110"})
-    void refusedRequestsUnderWayComeBackAsTokensAreEarned(double ratePerSecond, long millis) {
+    void rejectedRequestsOfRunningProgramsRetryAsTokensAreEarned(double ratePerSecond, long millis) {
         assertThat(QuotaWaitPolicy.retryAfterMillis(false, ratePerSecond, 4_000, 0.5))
                 .isEqualTo(millis);
     }
--- a/core/src/test/java/org/quetzalshunt/core/quota/ShareAllocationTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/quota/ShareAllocationTest.java
@@ -24,7 +24,7 @@
         return allocation;
     }
 
-    /** Guards against VMs that disagree on owners: an account would have too many or none. */
+    /** Guards against VMs that disagree on the owners, so that an account has too many owners or none. */
     @ParameterizedTest
     @CsvSource({"1, 20", "2, 20", "8, 20", "41, 2", "334, 20"})
     void targetsAddUpToTheWhole(int vms, double burst) {
@@ -32,13 +32,16 @@
         for (int account = 0; account < 20; account++) {
             String name = "account-" + account;
             int parts = members.stream()
-                    .mapToInt(vm -> allocation(vm, members).target(name, burst))
+                    .mapToInt(vm -> allocation(vm, members).targetParts(name, burst))
                     .sum();
             assertThat(parts).isEqualTo(ShareAllocation.ALL_PARTS);
         }
     }
 
-    /** The former primary owner is still asked after a VM has joined, since it may hold its share for a moment. */
+    /**
+     * Guards against requests that miss the former primary owner after a VM has joined: it may still hold its share for
+     * a moment.
+     */
     @Test
     void formerOwnersAreCandidatesAfterAVmJoined() {
         Map<String, String> primaryBefore = new HashMap<>();
--- a/core/src/test/java/org/quetzalshunt/core/quota/TokenBucketTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/quota/TokenBucketTest.java
@@ -12,30 +12,30 @@
 final class TokenBucketTest {
     private static TokenBucket full(double rate, double capacity) {
         TokenBucket bucket = TokenBucket.create(-100_000);
-        bucket.limit(-100_000, rate, capacity);
+        bucket.setLimits(-100_000, rate, capacity);
         return bucket;
     }
 
     @Test
-    void restartEarnsNoBurst() {
+    void newBucketStartsEmpty() {
         TokenBucket bucket = TokenBucket.create(0);
-        bucket.limit(0, 10, 100);
+        bucket.setLimits(0, 10, 100);
         assertThat(bucket.take(0)).isFalse();
         assertThat(bucket.take(100)).isTrue();
         assertThat(bucket.take(100)).isFalse();
     }
 
     @Test
-    void partThatShrinksLosesWhatNoLongerFits() {
+    void smallerCapacityDiscardsExcessTokens() {
         TokenBucket bucket = full(10, 100);
-        bucket.limit(0, 1, 2);
+        bucket.setLimits(0, 1, 2);
         assertThat(bucket.take(0)).isTrue();
         assertThat(bucket.take(0)).isTrue();
         assertThat(bucket.take(0)).isFalse();
     }
 
     @Test
-    void callsBeyondTheBurstWaitTheirTurn() {
+    void callsBeyondTheBurstWaitInOrder() {
         TokenBucket bucket = full(10, 2);
         List<TokenOffer> offers = new ArrayList<>();
         for (int call = 0; call < 6; call++) {
@@ -52,10 +52,10 @@
                 .inOrder();
     }
 
-    /** Whatever waits were granted, no span of time has more requests than its rate and the burst. */
+    /** Guards against reservations that admit more requests in any time span than the rate and the burst allow. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void noSpanHasMoreThanRateAndBurst(long seed) {
+    void noTimeSpanExceedsRateAndBurst(long seed) {
         Random random = new Random(seed);
         TokenBucket bucket = full(20, 15);
         List<Long> starts = new ArrayList<>();
--- a/core/src/test/java/org/quetzalshunt/core/quota/TokenSearchTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/quota/TokenSearchTest.java
@@ -14,41 +14,48 @@
 
     private final Map<String, TokenBucket> buckets = new HashMap<>();
 
-    /** An account of 30 a second and a burst of 30, of which the homes hold two thirds and one third; both are full. */
+    /**
+     * An account of 30 requests per second and a burst of 30. The holders have two thirds and one third of it, and both
+     * buckets are full.
+     */
     @BeforeEach
-    void fill() {
+    void fillBuckets() {
         for (String holder : HOLDERS) {
             double part = holder.equals("first") ? 20 : 10;
             TokenBucket bucket = TokenBucket.create(0);
-            bucket.limit(0, part, part);
+            bucket.setLimits(0, part, part);
             buckets.put(holder, bucket);
         }
     }
 
     private TokenSearch.Result search(long now, long maximumWaitMillis) {
-        List<TokenSearch.Result> heard = new ArrayList<>();
+        List<TokenSearch.Result> results = new ArrayList<>();
         TokenSearch.start(
                 HOLDERS,
                 maximumWaitMillis,
-                (holder, most, answer) -> answer.accept(buckets.get(holder).reserve(now, most)),
-                heard::add);
-        assertThat(heard).hasSize(1);
-        return heard.get(0);
+                (holder, maximumWait, answer) ->
+                        answer.accept(buckets.get(holder).reserve(now, maximumWait)),
+                results::add);
+        assertThat(results).hasSize(1);
+        return results.get(0);
     }
 
     /**
-     * A program starts helpers, and thirty calls of its account come at once, as many as its burst. Asked with all their
-     * wait, those beyond the first home's twenty would wait there for tokens of the time to come, with ten lying ready at
-     * the second: the program is late though it kept within its rate.
+     * A program starts helpers, and thirty calls of its account arrive at once, as many as its burst. Guards against
+     * calls beyond the first holder's twenty tokens that wait there for future tokens while the second holder has ten
+     * available. The program would be late although it kept within its quota.
      */
     @Test
-    void nobodyWaitsWhileAnotherHolderHasTokens() {
+    void requestDoesNotWaitWhileAnotherHolderHasTokens() {
         for (int call = 0; call < 30; call++) {
             assertThat(search(1_000, 750)).isEqualTo(new TokenSearch.Result.Granted(0));
         }
     }
 
-    /** Ten calls more, beyond the burst: they wait in both homes alike, a third of a second for ten at thirty a second. */
+    /**
+     * Ten more calls, beyond the burst, wait at both holders alike: a third of a second, for ten calls at thirty per
+     * second.
+     */
     @Test
     void waitsAreSpreadOverTheHolders() {
         for (int call = 0; call < 30; call++) {
@@ -64,7 +71,7 @@
     }
 
     @Test
-    void longerWaitThanTheRequestCanBearTakesNothing() {
+    void noTokenIsTakenBeyondTheMaximumWait() {
         for (int call = 0; call < 30; call++) {
             search(1_000, 0);
         }
@@ -73,9 +80,9 @@
     }
 
     @Test
-    void holdersThatDoNotAnswerHaveNone() {
-        List<TokenSearch.Result> heard = new ArrayList<>();
-        TokenSearch.start(HOLDERS, 750, (holder, most, answer) -> answer.accept(TokenOffer.NONE), heard::add);
-        assertThat(heard).containsExactly(new TokenSearch.Result.NoHolder());
+    void searchWithoutAnswersFindsNoHolder() {
+        List<TokenSearch.Result> results = new ArrayList<>();
+        TokenSearch.start(HOLDERS, 750, (holder, maximumWait, answer) -> answer.accept(TokenOffer.NONE), results::add);
+        assertThat(results).containsExactly(new TokenSearch.Result.NoHolder());
     }
 }
