--- a/core/src/main/java/org/quetzalshunt/core/limit/Bucket.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/Bucket.java
@@ -6,40 +6,41 @@
 import java.util.ArrayDeque;
 
 /**
- * One account's row: the part of its token bucket that this entry holds, and the requests that wait for tokens.
+ * One account's token bucket at this entry: the parts held, their tokens, and the requests that wait for tokens.
  *
- * <p>Whole numbers throughout, rounded against the caller, so that rounding can never add up to a token too many.
+ * <p>Uses integer arithmetic that rounds against the caller, so that rounding errors can never add up to an extra
+ * token.
  */
 final class Bucket {
-    /** Largest rate and burst that the arithmetic below carries without overflow. */
-    private static final double LARGEST = 1_000_000;
+    /** Largest rate and burst that the arithmetic below supports without overflow. */
+    private static final double MAXIMUM_RATE_OR_BURST = 1_000_000;
 
-    /** Longest accrual counted at once; at the largest rate the product stays below 2^63. */
-    private static final long LONGEST_ACCRUAL_MILLIS = 1_000_000;
+    /** Longest time accrued in one step. At the largest rate the product stays below 2^63. */
+    private static final long MAXIMUM_ACCRUAL_MILLIS = 1_000_000;
 
-    /** A wait longer than this is refused as a caller cannot tell it from a hang. */
-    private static final int MOST_WAITING = 4_096;
+    /** Maximum number of waiting requests. A caller cannot distinguish the wait in a longer queue from a hang. */
+    private static final int MAXIMUM_WAITING = 4_096;
 
     final AccountKey key;
     final Demand demand = new Demand();
     final ArrayDeque<Waiter> waiting = new ArrayDeque<>();
-    /** At the account's home: the other entries that ask for tokens. */
-    final Holders holders = new Holders();
+    /** At the account's home: the other entries that request tokens. */
+    final HolderHints holderHints = new HolderHints();
 
-    int holdersCursor;
-    long askedMillis = Long.MIN_VALUE / 2;
-    long askIntervalMillis;
-    /** Since when requests wait here without a break; the largest value when none waits. */
+    int nextHolderIndex;
+    long requestedMillis = Long.MIN_VALUE / 2;
+    long requestIntervalMillis;
+    /** Since when requests have been waiting here without interruption; {@link Long#MAX_VALUE} if none waits. */
     long shortSinceMillis = Long.MAX_VALUE;
 
     long lastTakeMillis = Long.MIN_VALUE / 2;
     long version = Long.MIN_VALUE;
     long taken;
     long refused;
-    /** Whether a part of this account ever came here or went from here in a transfer. */
-    boolean moved;
+    /** Whether parts of this account were ever transferred to or from this entry. */
+    boolean partsMoved;
 
-    private final Headroom headroom = new Headroom();
+    private final FreeRoomHistory freeRoom = new FreeRoomHistory();
     private long rateMicroTokens;
     private long burstMicroTokens;
     private long parts;
@@ -68,35 +69,35 @@
         return burstMicroTokens;
     }
 
-    /** Puts another rate and burst in force; tokens beyond the new room are gone. */
-    void limit(long nowMillis, double requestsPerSecond, double burst) {
+    /** Sets the rate and burst. Tokens beyond the new capacity are discarded. */
+    void setLimits(long nowMillis, double requestsPerSecond, double burst) {
         accrue(nowMillis);
-        rateMicroTokens = (long) (Math.min(Math.max(requestsPerSecond, 0), LARGEST) * MICRO_TOKENS);
-        burstMicroTokens = (long) (Math.min(Math.max(burst, 0), LARGEST) * MICRO_TOKENS);
+        rateMicroTokens = (long) (Math.min(Math.max(requestsPerSecond, 0), MAXIMUM_RATE_OR_BURST) * MICRO_TOKENS);
+        burstMicroTokens = (long) (Math.min(Math.max(burst, 0), MAXIMUM_RATE_OR_BURST) * MICRO_TOKENS);
         clamp();
     }
 
-    /** Adds what the part earned since the last call. */
+    /** Adds the tokens that the parts earned since the last call. */
     void accrue(long nowMillis) {
-        long elapsed = nowMillis - accruedMillis;
-        if (elapsed <= 0) {
+        long elapsedMillis = nowMillis - accruedMillis;
+        if (elapsedMillis <= 0) {
             return;
         }
         accruedMillis = nowMillis;
-        earn(elapsed);
+        earnFor(elapsedMillis);
     }
 
-    /** Adds what the part earns in a time. */
-    void earn(long elapsed) {
-        long rateHere = rateMicroTokens * parts / ALL_PARTS;
-        long earned = rateHere * Math.min(elapsed, LONGEST_ACCRUAL_MILLIS) + remainder;
+    /** Adds the tokens that the parts earn in the given time. */
+    void earnFor(long elapsedMillis) {
+        long localRate = rateMicroTokens * parts / ALL_PARTS;
+        long earned = localRate * Math.min(elapsedMillis, MAXIMUM_ACCRUAL_MILLIS) + remainder;
         level += earned / 1_000;
         remainder = earned % 1_000;
         clamp();
     }
 
-    /** Fills the part to its room. */
-    void fill() {
+    /** Fills the bucket to its capacity. */
+    void fillToCapacity() {
         level = capacity();
         clamp();
     }
@@ -105,31 +106,31 @@
         return level >= MICRO_TOKENS;
     }
 
-    /** Takes a token that is there, and returns the moment by which it can be given back. */
+    /** Takes an available token. Returns the sequence number by which it can be returned. */
     long take() {
         level -= MICRO_TOKENS;
         taken++;
-        return headroom.note(capacity() - level);
+        return freeRoom.recordRoom(capacity() - level);
     }
 
-    /** Puts back a token whose request never ran; drops it where it might count twice. */
-    void giveBack(long takenAt) {
+    /** Returns the token of a request that never ran, or discards it if it could count twice. */
+    void giveBack(long takeSequence) {
         taken--;
-        if (headroom.use(takenAt, MICRO_TOKENS)) {
+        if (freeRoom.tryUse(takeSequence, MICRO_TOKENS)) {
             level += MICRO_TOKENS;
         }
     }
 
-    /** Adds a part with the tokens in it. */
-    void add(long nowMillis, long addedParts, long microTokens) {
+    /** Adds parts with their tokens. */
+    void addParts(long nowMillis, long addedParts, long microTokens) {
         accrue(nowMillis);
         parts = Math.min(ALL_PARTS, parts + addedParts);
         level += microTokens;
         clamp();
     }
 
-    /** Gives up a part with tokens; the caller asks for no more than is here. */
-    void remove(long nowMillis, long removedParts, long microTokens) {
+    /** Removes parts with their tokens. The caller must not ask for more than the bucket holds. */
+    void removeParts(long nowMillis, long removedParts, long microTokens) {
         accrue(nowMillis);
         parts -= removedParts;
         level -= microTokens;
@@ -137,7 +138,7 @@
         clamp();
     }
 
-    /** Forgets everything held. */
+    /** Drops all parts and tokens. */
     void clear(long nowMillis) {
         accrue(nowMillis);
         parts = 0;
@@ -158,7 +159,7 @@
         return burstMicroTokens * someParts / ALL_PARTS;
     }
 
-    /** Parts needed to carry tokens, rounded up; all of them where the burst has no room. */
+    /** Parts needed as capacity for the tokens, rounded up; all parts if the tokens exceed the burst. */
     long partsFor(long microTokens) {
         if (microTokens >= burstMicroTokens) {
             return ALL_PARTS;
@@ -166,13 +167,13 @@
         return (microTokens * ALL_PARTS + burstMicroTokens - 1) / burstMicroTokens;
     }
 
-    /** How many requests may wait: those beyond what the whole fleet could serve within the wait are refused at once. */
+    /** How many requests may wait. More than the whole fleet could serve within the wait are refused at once. */
     int waitingLimit(long waitMillis) {
         long servable = (burstMicroTokens + rateMicroTokens / 1_000 * waitMillis) / MICRO_TOKENS + 1;
-        return (int) Math.min(MOST_WAITING, servable);
+        return (int) Math.min(MAXIMUM_WAITING, servable);
     }
 
-    /** Time in which the whole fleet earns one token, bounded to a minute. */
+    /** Time in which the whole fleet earns one token, at most one minute. */
     long retryAfterMillis() {
         if (rateMicroTokens == 0) {
             return 60_000;
@@ -186,6 +187,6 @@
             level = capacity;
             remainder = 0;
         }
-        headroom.note(capacity - level);
+        freeRoom.recordRoom(capacity - level);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/limit/BucketTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/BucketTable.java
@@ -6,10 +6,12 @@
 import java.util.function.Consumer;
 import org.agrona.collections.Object2ObjectHashMap;
 
-/** Table of the client accounts, one row each. Rows are never removed: a row may hold parts of a removed account. */
+/**
+ * The buckets of the client accounts. Buckets are never removed, since a bucket may hold parts of a removed account.
+ */
 final class BucketTable {
     private final Object2ObjectHashMap<AccountKey, Bucket> index = new Object2ObjectHashMap<>();
-    private final List<Bucket> rows = new ArrayList<>();
+    private final List<Bucket> buckets = new ArrayList<>();
 
     Optional<Bucket> find(AccountKey key) {
         return Optional.ofNullable(index.get(key));
@@ -22,12 +24,12 @@
         }
         Bucket added = new Bucket(key, nowMillis);
         index.put(key, added);
-        rows.add(added);
+        buckets.add(added);
         onAdded.accept(added);
         return added;
     }
 
-    List<Bucket> rows() {
-        return rows;
+    List<Bucket> buckets() {
+        return buckets;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/limit/CarryOver.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/CarryOver.java
@@ -10,19 +10,22 @@
 import org.quetzalshunt.core.vm.VmId;
 
 /**
- * The step from one generation to the next: survivors keep their parts and report them to the homes, and each home
- * grants what nobody reported.
+ * Carries parts over from one generation to the next: the survivors, which are members of both, keep their parts and
+ * report them to the accounts' homes, and each home grants the parts that no survivor reported.
  *
- * <p>Guards against a part that is held by a dead VM and granted anew, which would show as a window over its bound. The
- * home waits until every survivor has reported, so that it knows the sum of what is held, and then until whoever was left
- * out must have stopped, see {@link Lease}.
+ * <p>Guards against a part that is granted while a dead VM still holds it, which would admit more than rate and burst
+ * in some window. The home first waits until every survivor has reported, so that it knows the sum of the parts held,
+ * and then until every excluded VM must have stopped (see {@link Lease}).
  */
 final class CarryOver {
     /** A report that was not acknowledged is sent again after this time. */
-    private static final long REPEAT_MILLIS = 100;
+    private static final long RETRANSMIT_MILLIS = 100;
 
-    /** Steps whose parts are still to be granted; of more, the oldest are folded into the newer ones. */
-    private static final int MOST_RECLAIMS = 8;
+    /**
+     * Generation changes whose unheld parts are still to be granted. Beyond this number, the oldest is dropped, and a
+     * newer one grants its parts after a wait of its own.
+     */
+    private static final int MAXIMUM_RECLAIMS = 8;
 
     private final VmId self;
     private final LimitSettings settings;
@@ -37,36 +40,36 @@
     }
 
     /**
-     * Starts the step.
+     * Starts the change to a new generation.
      *
-     * @param carries whether this VM was a member before and still is
-     * @param holdings what it carries over; it may be nothing
+     * @param carriesOver whether this VM was a member before and still is
+     * @param holdings the parts that it carries over, possibly none
      */
     void start(
             long nowMillis,
             Generation next,
-            boolean carries,
+            boolean carriesOver,
             List<Holding> holdings,
             BiConsumer<VmId, LimitMessage> sender) {
         unacknowledged.clear();
-        keepReclaims(next, carries);
+        retainReclaims(next, carriesOver);
         if (next.homes.contains(self)) {
             long wait = waitMillis(next.record, settings);
             reclaims.add(new Reclaim(self, nowMillis, next, holdings, wait));
         }
         nextDueMillis = nowMillis;
-        if (next.carriers().contains(self)) {
+        if (next.survivors().contains(self)) {
             prepareReports(next, holdings);
             send(nowMillis, sender);
         }
     }
 
-    private void keepReclaims(Generation next, boolean carries) {
-        reclaims.removeIf(reclaim -> !carries || !reclaim.isComplete());
-        if (reclaims.size() == MOST_RECLAIMS) {
+    private void retainReclaims(Generation next, boolean carriesOver) {
+        reclaims.removeIf(reclaim -> !carriesOver || !reclaim.isComplete());
+        if (reclaims.size() == MAXIMUM_RECLAIMS) {
             reclaims.remove(0);
         }
-        reclaims.forEach(reclaim -> reclaim.outlives(next));
+        reclaims.forEach(reclaim -> reclaim.addGeneration(next));
     }
 
     private void prepareReports(Generation next, List<Holding> holdings) {
@@ -74,9 +77,10 @@
             if (home.equals(self)) {
                 continue;
             }
-            List<Holding> ofHome = new ArrayList<>(holdings);
-            ofHome.removeIf(holding -> !next.home(holding.key()).orElseThrow().equals(home));
-            unacknowledged.put(home, new CarryReport(next.offset, ofHome));
+            List<Holding> holdingsOfHome = new ArrayList<>(holdings);
+            holdingsOfHome.removeIf(
+                    holding -> !next.home(holding.key()).orElseThrow().equals(home));
+            unacknowledged.put(home, new CarryReport(next.offset, holdingsOfHome));
         }
     }
 
@@ -85,7 +89,7 @@
         unacknowledged.forEach(sender);
     }
 
-    /** Takes in a survivor's report about the generation in force. */
+    /** Handles a survivor's report about the current generation. */
     void onReport(long nowMillis, VmId from, CarryReport report) {
         if (reclaims.isEmpty()) {
             return;
@@ -99,13 +103,13 @@
     }
 
     void tick(long nowMillis, BiConsumer<VmId, LimitMessage> sender) {
-        if (!unacknowledged.isEmpty() && nowMillis - sentMillis >= REPEAT_MILLIS) {
+        if (!unacknowledged.isEmpty() && nowMillis - sentMillis >= RETRANSMIT_MILLIS) {
             send(nowMillis, sender);
         }
     }
 
-    /** Whether parts of some accounts may have come free since the last call. */
-    boolean anyDue(long nowMillis) {
+    /** Whether parts of some accounts may have become available since the last call. */
+    boolean pollDue(long nowMillis) {
         if (nowMillis < nextDueMillis) {
             return false;
         }
@@ -117,30 +121,32 @@
         return true;
     }
 
-    /** Claims, for this home, the parts of an account that nobody holds. */
-    long claimUnheld(long nowMillis, AccountKey key) {
-        long unheld = reclaims.stream()
-                .mapToLong(reclaim -> reclaim.unheld(nowMillis, key))
+    /** Claims for this home the parts of an account that no entry holds. */
+    long claimUnheldParts(long nowMillis, AccountKey key) {
+        long unheldParts = reclaims.stream()
+                .mapToLong(reclaim -> reclaim.unheldParts(nowMillis, key))
                 .max()
                 .orElse(0);
-        if (unheld > 0) {
-            reclaims.forEach(reclaim -> reclaim.granted(key, unheld));
+        if (unheldParts > 0) {
+            reclaims.forEach(reclaim -> reclaim.recordGrant(key, unheldParts));
         }
-        return unheld;
+        return unheldParts;
     }
 
-    /** Since when this home could have granted all that nobody holds; now, if it may not yet. */
-    long grantedMillis(long nowMillis) {
+    /** Since when this home could have granted all unheld parts, or now if it may not grant them yet. */
+    long grantableSinceMillis(long nowMillis) {
         return reclaims.isEmpty()
                 ? nowMillis
                 : Math.min(nowMillis, reclaims.get(reclaims.size() - 1).dueMillis());
     }
 
-    /** Time that a generation's reclaimed parts stay unused. Before the first generation nobody can have held any. */
+    /**
+     * How long the reclaimed parts of a generation stay unused. Before the first generation no VM can have held any.
+     */
     static long waitMillis(LimitGenerationRecord record, LimitSettings settings) {
-        if (record.first()) {
+        if (record.isFirst()) {
             return 0;
         }
-        return settings.stoppedAfterMillis() + (record.longWait() ? settings.listLagMillis() : 0);
+        return settings.expiryWaitMillis() + (record.longWait() ? settings.listLagMillis() : 0);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/limit/Demand.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/Demand.java
@@ -1,29 +1,32 @@
 package org.quetzalshunt.core.limit;
 
-/** How many tokens a second the callers of one account ask for at this entry, weighed by age. */
+/**
+ * Estimates how many tokens per second the callers of one account request at this entry, as an exponentially decaying
+ * average.
+ */
 final class Demand {
     /**
-     * Quarter of a second: an entry that traffic has left gives up its part within a second, and the gaps of a steady
-     * tenant at ten requests a second do not look like an end of traffic.
+     * Time constant of the decay. At a quarter of a second, an entry without traffic gives up its parts within a
+     * second, and the gaps of a steady tenant at ten requests per second do not look like the end of its traffic.
      */
-    private static final double MEMORY_MILLIS = 250;
+    private static final double DECAY_MILLIS = 250;
 
-    private double weighted;
+    private double weightedCount;
     private long updatedMillis;
 
     void add(long nowMillis) {
         decay(nowMillis);
-        weighted += 1;
+        weightedCount += 1;
     }
 
     double perSecond(long nowMillis) {
         decay(nowMillis);
-        return weighted * 1_000 / MEMORY_MILLIS;
+        return weightedCount * 1_000 / DECAY_MILLIS;
     }
 
     private void decay(long nowMillis) {
         if (nowMillis > updatedMillis) {
-            weighted *= Math.exp((updatedMillis - nowMillis) / MEMORY_MILLIS);
+            weightedCount *= Math.exp((updatedMillis - nowMillis) / DECAY_MILLIS);
             updatedMillis = nowMillis;
         }
     }
--- a/core/src/main/java/org/quetzalshunt/core/limit/FleetLimits.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/FleetLimits.java
@@ -18,23 +18,23 @@
 import org.quetzalshunt.core.vm.VmId;
 
 /**
- * Rate and burst of every client account at one entry, by escrow: the parts held by all entries never sum to more than
- * the account's rate and burst.
+ * Enforces the rate and burst of every client account at one entry, by escrow: the parts held by all entries never sum
+ * to more than the account's rate and burst.
  *
- * <p>Times are milliseconds of the caller's monotonic clock, which must go on while the process is paused. Not safe for
- * use by several threads. {@link #tick} is due every few milliseconds while requests wait, and a few times a second
+ * <p>Times are milliseconds of the caller's monotonic clock, which must continue while the process is paused. Not
+ * thread-safe. {@link #tick} must be called every few milliseconds while requests wait, and a few times per second
  * otherwise.
  */
 public final class FleetLimits {
-    /** Told to callers of an account that this entry does not know yet. */
+    /** Retry delay for callers of an account that this entry has not read yet. */
     private static final long UNKNOWN_ACCOUNT_RETRY_MILLIS = 1_000;
 
     private final VmId self;
     private final LimitSettings settings;
     private final LimitPort port;
     private final BucketTable table = new BucketTable();
-    /** Rows with waiting requests, or with parts that may have to go back to their home. */
-    private final Set<Bucket> active = new HashSet<>();
+    /** Buckets with waiting requests, or with parts that may have to return to the account's home. */
+    private final Set<Bucket> activeBuckets = new HashSet<>();
 
     private final Lease lease;
     private final CarryOver carryOver;
@@ -55,12 +55,14 @@
         this.mover = new PartMover(self, lease, fetcher, this::send);
     }
 
-    /** Limits of an entry that has just started: it holds nothing until a generation names it. */
+    /**
+     * Creates the limits of an entry that has just started. It holds no parts until a generation names it as a member.
+     */
     public static FleetLimits create(VmId self, LimitSettings settings, LimitPort port) {
         return new FleetLimits(self, settings, port);
     }
 
-    /** Puts an account's rate and burst in force, as a document has them; an older version changes nothing. */
+    /** Applies an account's rate and burst from a service document. An older version than the last one is ignored. */
     public void documentChanged(
             long nowMillis, String service, String account, double requestsPerSecond, double burst, long version) {
         Bucket bucket = bucket(nowMillis, new AccountKey(service, account));
@@ -69,20 +71,23 @@
         }
         boolean added = bucket.version == Long.MIN_VALUE;
         bucket.version = version;
-        bucket.limit(nowMillis, requestsPerSecond, burst);
+        bucket.setLimits(nowMillis, requestsPerSecond, burst);
         if (added) {
             creditUnused(nowMillis, bucket);
         }
         serve(nowMillis, bucket);
     }
 
-    /** Takes an account out of force; its row stays, so that putting it back cannot grant its tokens twice. */
+    /**
+     * Removes an account. Its bucket stays with rate and burst zero, so that adding the account again cannot grant its
+     * tokens twice.
+     */
     public void removed(long nowMillis, String service, String account, long version) {
         documentChanged(nowMillis, service, account, 0, 0, version);
     }
 
-    /** Takes one token for a request, or lets it wait for one, at most the wait of the settings. */
-    public Take take(long nowMillis, String service, String account, Consumer<TakeOutcome> later) {
+    /** Takes one token for a request, or lets the request wait for one, at most for the wait of the settings. */
+    public Take take(long nowMillis, String service, String account, Consumer<TakeOutcome> callback) {
         Optional<Bucket> known = table.find(new AccountKey(service, account));
         if (known.isEmpty()) {
             return new Take.Refused(UNKNOWN_ACCOUNT_RETRY_MILLIS);
@@ -92,64 +97,63 @@
         bucket.demand.add(nowMillis);
         bucket.lastTakeMillis = nowMillis;
         serve(nowMillis, bucket);
-        if (bucket.waiting.isEmpty() && bucket.hasToken() && mayUse(nowMillis)) {
-            long moment = bucket.take();
+        if (bucket.waiting.isEmpty() && bucket.hasToken() && mayUseParts(nowMillis)) {
+            long takeSequence = bucket.take();
             fetcher.onServed(nowMillis);
             fetcher.fetch(nowMillis, bucket);
-            return new Take.Taken(moment);
+            return new Take.Taken(takeSequence);
         }
         if (bucket.waiting.size() >= bucket.waitingLimit(settings.waitMillis())) {
             bucket.refused++;
             return new Take.Refused(bucket.retryAfterMillis());
         }
         long handle = nextHandle++;
-        bucket.waiting.add(new Waiter(handle, nowMillis + settings.waitMillis(), later));
-        active.add(bucket);
+        bucket.waiting.add(new Waiter(handle, nowMillis + settings.waitMillis(), callback));
+        activeBuckets.add(bucket);
         fetcher.fetch(nowMillis, bucket);
         return new Take.Waiting(handle);
     }
 
-    /** Ends a wait whose caller went away; its callback is not called. */
+    /** Cancels the wait of a request whose caller has disconnected. Its callback is not called. */
     public void cancel(long handle) {
-        for (Bucket bucket : active) {
+        for (Bucket bucket : activeBuckets) {
             if (bucket.waiting.removeIf(waiter -> waiter.handle() == handle)) {
                 return;
             }
         }
     }
 
-    /** Gives back a token whose request was refused later and truly did not run. */
-    public void giveBack(String service, String account, long moment) {
-        table.find(new AccountKey(service, account)).ifPresent(bucket -> bucket.giveBack(moment));
+    /** Returns the token of a request that was refused later and certainly did not run. */
+    public void giveBack(String service, String account, long takeSequence) {
+        table.find(new AccountKey(service, account)).ifPresent(bucket -> bucket.giveBack(takeSequence));
     }
 
-    /** The same where the moment of taking is not known: fewer tokens can be put back safely. */
+    /** The same if the sequence number of the take is not known. Fewer tokens can then be returned safely. */
     public void giveBack(String service, String account) {
         giveBack(service, account, Long.MIN_VALUE);
     }
 
-    /** Takes in a message of another entry. The incarnation is the one that the connection was opened by. */
+    /** Handles a message of another entry. The sender's incarnation is the one that opened the connection. */
     public void onMessage(long nowMillis, VmId from, LimitMessage message) {
         if (message instanceof LeaseRequest request) {
             onLeaseRequest(from, request);
             return;
         }
-        // A message of another generation is void: what it moves or asks for has been counted anew, or will be when
-        // this
-        // VM has read the newer generation; its sender repeats it until then.
+        // A message of another generation is void. The parts that an older message moves were counted again for the
+        // current generation. A newer message is retransmitted until this VM has read the newer generation.
         boolean current = message.generation() == generation.offset;
         if (!current || !generation.contains(self)) {
             return;
         }
         if (message instanceof LeaseWord word) {
-            lease.onWord(from, word.sentMillis());
+            lease.onConfirmation(from, word.sentMillis());
             serveAll(nowMillis);
         } else if (generation.contains(from)) {
-            onMembersMessage(nowMillis, from, message);
+            onMemberMessage(nowMillis, from, message);
         }
     }
 
-    private void onMembersMessage(long nowMillis, VmId from, LimitMessage message) {
+    private void onMemberMessage(long nowMillis, VmId from, LimitMessage message) {
         if (message instanceof Request request) {
             onRequest(nowMillis, request);
         } else if (message instanceof Transfer transfer) {
@@ -157,15 +161,15 @@
         } else if (message instanceof TransferAcknowledgement acknowledgement) {
             mover.onAcknowledgement(nowMillis, from, acknowledgement.transfer());
         } else if (message instanceof CarryReport report) {
-            onReport(nowMillis, from, report);
+            onCarryReport(nowMillis, from, report);
         } else if (message instanceof CarryAcknowledgement) {
             carryOver.onAcknowledgement(from);
         }
     }
 
     private void onLeaseRequest(VmId from, LeaseRequest request) {
-        boolean knowsNoNewer = generation.offset <= request.generation();
-        if (knowsNoNewer) {
+        boolean hasNoNewerGeneration = generation.offset <= request.generation();
+        if (hasNoNewerGeneration) {
             send(from, new LeaseWord(request.generation(), request.sentMillis()));
         }
     }
@@ -183,45 +187,47 @@
     private void onTransfer(long nowMillis, VmId from, Transfer transfer) {
         Bucket bucket = bucket(nowMillis, transfer.key());
         mover.onTransfer(nowMillis, from, bucket, transfer);
-        active.add(bucket);
+        activeBuckets.add(bucket);
         serve(nowMillis, bucket);
     }
 
-    private void onReport(long nowMillis, VmId from, CarryReport report) {
+    private void onCarryReport(long nowMillis, VmId from, CarryReport report) {
         send(from, new CarryAcknowledgement(report.generation()));
         carryOver.onReport(nowMillis, from, report);
         for (Holding holding : report.holdings()) {
-            bucket(nowMillis, holding.key()).holders.note(nowMillis, from, 0);
+            bucket(nowMillis, holding.key()).holderHints.recordHolder(nowMillis, from, 0);
         }
     }
 
-    /** Takes in a generation record, in the order of the stream. A record that is not based on the last one is void. */
+    /**
+     * Handles a generation record, in the order of the stream. A record that is not based on the current generation is
+     * void.
+     */
     public void onGeneration(long nowMillis, long offset, LimitGenerationRecord record) {
         if (offset > generation.offset && record.basedOnGeneration() == generation.offset) {
-            enter(nowMillis, Generation.of(offset, record));
+            enterGeneration(nowMillis, Generation.of(offset, record));
         }
     }
 
-    /** Takes in the generation that a checkpoint of the stream holds, with the offset that its record had. */
+    /** Restores the generation of a checkpoint of the stream, with the offset that its record had. */
     public void restoreGeneration(long nowMillis, long offset, LimitGenerationRecord record) {
         if (offset > generation.offset) {
-            enter(nowMillis, Generation.of(offset, record));
+            enterGeneration(nowMillis, Generation.of(offset, record));
         }
     }
 
-    private void enter(long nowMillis, Generation next) {
-        // What this VM holds counts only if it was a member of the generation just before: a VM that missed one may
-        // have
-        // been left out of it, and its part granted to others.
-        boolean carries = next.record.basedOnGeneration() == generation.offset
+    private void enterGeneration(long nowMillis, Generation next) {
+        // This VM's parts count only if it was a member of the generation directly before. If this VM missed a
+        // generation, that one may have excluded it and granted its parts to others.
+        boolean carriesOver = next.record.basedOnGeneration() == generation.offset
                 && generation.contains(self)
                 && next.contains(self);
         List<Holding> holdings = new ArrayList<>();
-        for (Bucket bucket : table.rows()) {
-            if (!carries) {
+        for (Bucket bucket : table.buckets()) {
+            if (!carriesOver) {
                 bucket.clear(nowMillis);
             }
-            bucket.holders.clear();
+            bucket.holderHints.clear();
             if (bucket.parts() > 0) {
                 holdings.add(new Holding(bucket.key, bucket.parts()));
             }
@@ -231,11 +237,11 @@
         lease.onGeneration(next.members);
         fetcher.onGeneration(next);
         proposer.onGeneration(nowMillis, next);
-        carryOver.start(nowMillis, next, carries, holdings, this::send);
+        carryOver.start(nowMillis, next, carriesOver, holdings, this::send);
         tick(nowMillis);
     }
 
-    /** Takes in the view of the membership. */
+    /** Updates the view of the membership. */
     public void membersChanged(long nowMillis, List<Member> members) {
         Set<VmId> live = new HashSet<>();
         Set<VmId> listed = new HashSet<>();
@@ -248,12 +254,12 @@
         }
         live.add(self);
         lease.onListed(listed);
-        fetcher.onAlive(live);
+        fetcher.onLiveMembers(live);
         proposer.onMembers(nowMillis, members);
     }
 
     /**
-     * Notes that the configuration stream was read to its end, after every record of that read has been taken in.
+     * Records that the configuration stream was read to its end, and every record of that read was processed.
      *
      * @param sentMillis local time at which the read was sent, not that of its answer
      */
@@ -262,77 +268,80 @@
         serveAll(nowMillis);
     }
 
-    /** Lets time pass: serves and refuses waiting requests, repeats what got no answer, proposes generations. */
+    /**
+     * Performs what is due: serves and refuses waiting requests, retransmits unanswered messages and proposes
+     * generations.
+     */
     public void tick(long nowMillis) {
         if (generation.contains(self)) {
             lease.tick(nowMillis, generation.offset, this::send);
             carryOver.tick(nowMillis, this::send);
-            mover.repeat(nowMillis);
-            if (carryOver.anyDue(nowMillis)) {
-                table.rows().forEach(bucket -> grantUnheld(nowMillis, bucket));
+            mover.retransmit(nowMillis);
+            if (carryOver.pollDue(nowMillis)) {
+                table.buckets().forEach(bucket -> grantUnheld(nowMillis, bucket));
             }
         }
         if (!mover.isLeaving()) {
             proposer.tick(nowMillis, port::appendGeneration);
         }
         serveAll(nowMillis);
-        mover.sweepIdle(nowMillis, table.rows());
+        mover.sweepIdle(nowMillis, table.buckets());
     }
 
     private void grantUnheld(long nowMillis, Bucket bucket) {
-        long unheld = carryOver.claimUnheld(nowMillis, bucket.key);
-        if (unheld > 0) {
-            mover.add(nowMillis, bucket, unheld, 0);
-            if (generation.record.first()) {
-                bucket.fill();
+        long unheldParts = carryOver.claimUnheldParts(nowMillis, bucket.key);
+        if (unheldParts > 0) {
+            mover.addParts(nowMillis, bucket, unheldParts, 0);
+            if (generation.record.isFirst()) {
+                bucket.fillToCapacity();
             }
             serve(nowMillis, bucket);
         }
     }
 
     /**
-     * Credits a new account with what its part would have earned since it was granted, as nobody can have used a token of
-     * it. In a deployment's very first generation that is a full bucket. A part granted after that starts empty, since
-     * its former holder may just have used a full burst.
+     * Credits a new account with the tokens that its parts would have earned since they were granted, since no request
+     * can have used one of them. In a deployment's very first generation that is a full bucket. Parts granted later
+     * start empty, since their former holder may just have used a full burst.
      */
     private void creditUnused(long nowMillis, Bucket bucket) {
-        if (bucket.moved) {
+        if (bucket.partsMoved) {
             return;
         }
-        if (generation.record.first()) {
-            bucket.fill();
+        if (generation.record.isFirst()) {
+            bucket.fillToCapacity();
         } else {
-            bucket.earn(nowMillis - carryOver.grantedMillis(nowMillis));
+            bucket.earnFor(nowMillis - carryOver.grantableSinceMillis(nowMillis));
         }
     }
 
-    /** Starts a planned stop: every part goes to live peers, now and whenever one still arrives. */
+    /** Starts a graceful shutdown: every part goes to live peers, including parts that arrive later. */
     public void leaving(long nowMillis) {
-        mover.leave();
+        mover.startLeaving();
         tick(nowMillis);
     }
 
-    /** Whether a leaving entry has handed over everything and had it acknowledged. */
+    /** Whether an entry that is shutting down has transferred all of its parts and received all acknowledgements. */
     public boolean handedOver() {
         return mover.pendingTransfers() == 0
-                && table.rows().stream().allMatch(bucket -> bucket.parts() == 0 && bucket.waiting.isEmpty());
+                && table.buckets().stream().allMatch(bucket -> bucket.parts() == 0 && bucket.waiting.isEmpty());
     }
 
-    private boolean mayUse(long nowMillis) {
-        return generation.contains(self) && lease.holds(nowMillis);
+    private boolean mayUseParts(long nowMillis) {
+        return generation.contains(self) && lease.isValid(nowMillis);
     }
 
     private void serveAll(long nowMillis) {
-        if (active.isEmpty()) {
+        if (activeBuckets.isEmpty()) {
             return;
         }
-        for (Bucket bucket : List.copyOf(active)) {
+        for (Bucket bucket : List.copyOf(activeBuckets)) {
             serve(nowMillis, bucket);
             fetcher.fetch(nowMillis, bucket);
-            mover.bringBack(nowMillis, bucket);
-            boolean quiet = bucket.waiting.isEmpty();
-            if (quiet && (bucket.parts() == 0 || mover.isHome(bucket.key))) {
-                active.remove(bucket);
+            mover.returnSurplus(nowMillis, bucket);
+            boolean hasNoWaiters = bucket.waiting.isEmpty();
+            if (hasNoWaiters && (bucket.parts() == 0 || mover.isHome(bucket.key))) {
+                activeBuckets.remove(bucket);
             }
         }
     }
@@ -342,15 +351,15 @@
             return;
         }
         bucket.accrue(nowMillis);
-        while (!bucket.waiting.isEmpty() && bucket.hasToken() && mayUse(nowMillis)) {
+        while (!bucket.waiting.isEmpty() && bucket.hasToken() && mayUseParts(nowMillis)) {
             Waiter waiter = bucket.waiting.poll();
             fetcher.onServed(nowMillis);
-            waiter.later().accept(new TakeOutcome.Taken(bucket.take()));
+            waiter.callback().accept(new TakeOutcome.Taken(bucket.take()));
         }
         while (!bucket.waiting.isEmpty() && bucket.waiting.peek().deadlineMillis() <= nowMillis) {
             Waiter waiter = bucket.waiting.poll();
             bucket.refused++;
-            waiter.later().accept(new TakeOutcome.Refused(bucket.retryAfterMillis()));
+            waiter.callback().accept(new TakeOutcome.Refused(bucket.retryAfterMillis()));
         }
     }
 
@@ -362,34 +371,34 @@
         port.send(to.name(), message);
     }
 
-    /** Whether the generation in force names this VM, so that it may hold parts. */
+    /** Whether the current generation names this VM as a member, so that it may hold parts. */
     public boolean isMember() {
         return generation.contains(self);
     }
 
-    /** The generation in force with its offset, for checkpoints of the stream; empty before the first. */
+    /** The current generation, for checkpoints of the stream; empty before the first. */
     public Optional<LimitGenerationRecord> generation() {
         return generation.offset == LimitGenerationRecord.NONE ? Optional.empty() : Optional.of(generation.record);
     }
 
-    /** Offset of the generation in force. */
+    /** Offset of the current generation. */
     public long generationOffset() {
         return generation.offset;
     }
 
-    /** Whether this VM may use its parts: it proved of late that no newer generation leaves it out. */
+    /** Whether this VM may use its parts: it recently proved that no newer generation excludes it. */
     public boolean holdsLease(long nowMillis) {
-        return mayUse(nowMillis);
+        return mayUseParts(nowMillis);
     }
 
-    /** How often a check of this class found a promise broken; anything but 0 is a fault of the program. */
-    public long brokenPromises() {
-        return mover.brokenPromises();
+    /** How often a check found more parts than exist; any value but 0 is a bug. */
+    public long invariantViolations() {
+        return mover.invariantViolations();
     }
 
-    /** What this entry holds, a row an account. */
+    /** What this entry holds, one element per account. */
     public List<LimitStatus> status(long nowMillis) {
-        return table.rows().stream()
+        return table.buckets().stream()
                 .map(bucket -> LimitStatuses.of(nowMillis, bucket, mover.pendingParts(bucket.key)))
                 .toList();
     }
--- a/core/src/main/java/org/quetzalshunt/core/limit/Generation.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/Generation.java
@@ -10,13 +10,14 @@
 import org.quetzalshunt.core.membership.Rendezvous;
 import org.quetzalshunt.core.vm.VmId;
 
-/** The generation in force, as every reader of the configuration stream sees it. */
+/** A generation of the limits as read from the configuration stream, with the homes of the accounts derived from it. */
 final class Generation {
     /**
-     * Homes of a generation. A dozen spread the accounts well enough, and bound the reports of a change of generation to
-     * a dozen a member, where reports to every member would grow with the square of the fleet.
+     * Maximum number of homes of a generation. A dozen spreads the accounts well enough and bounds the reports of a
+     * change of generation to a dozen per member. With reports to every member, their number would grow with the square
+     * of the fleet.
      */
-    private static final int MOST_HOMES = 12;
+    private static final int MAXIMUM_HOMES = 12;
 
     final long offset;
     final LimitGenerationRecord record;
@@ -32,7 +33,7 @@
         this.homes = record.members().stream()
                 .sorted(Comparator.comparingLong((VmId vm) -> Rendezvous.weight("home", vm.name()))
                         .thenComparing(VmId::name))
-                .limit(MOST_HOMES)
+                .limit(MAXIMUM_HOMES)
                 .toList();
     }
 
@@ -50,26 +51,29 @@
         return members.contains(vm);
     }
 
-    /** Members of the former generation that are members of this one, and so carry over what they hold. */
-    Set<VmId> carriers() {
-        Set<VmId> carriers = new HashSet<>(record.formerMembers());
-        carriers.retainAll(members);
-        return carriers;
+    /** Members of the former generation that are members of this one too, and so carry over their parts. */
+    Set<VmId> survivors() {
+        Set<VmId> survivors = new HashSet<>(record.formerMembers());
+        survivors.retainAll(members);
+        return survivors;
     }
 
-    /** Whether a member of the former generation was left out, so that its part has to be reclaimed. */
-    boolean excludes() {
+    /** Whether a member of the former generation is not a member of this one, so that its parts must be reclaimed. */
+    boolean excludesFormerMembers() {
         return !members.containsAll(record.formerMembers());
     }
 
-    /** The member that grants an account's unheld part and knows who may hold the rest; empty without members. */
+    /**
+     * The member that grants an account's unheld parts and tracks which entries may hold the others; empty without
+     * members.
+     */
     Optional<VmId> home(AccountKey key) {
         return homeOfAccount.computeIfAbsent(key, this::computeHome);
     }
 
     private Optional<VmId> computeHome(AccountKey key) {
         List<String> names = homes.stream().map(VmId::name).toList();
-        return Rendezvous.winner(key.hashText(), names)
+        return Rendezvous.winner(key.hashKey(), names)
                 .flatMap(name ->
                         homes.stream().filter(vm -> vm.name().equals(name)).findFirst());
     }
--- a/core/src/main/java/org/quetzalshunt/core/limit/GenerationProposer.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/GenerationProposer.java
@@ -10,36 +10,42 @@
 import org.quetzalshunt.core.vm.VmId;
 
 /**
- * Proposes a new generation when the live entries differ from the members. Any entry may, as the stream's order decides;
- * the ranks below only keep the number of appends small.
+ * Proposes a new generation when the live entries differ from the members. Any entry may do so, since the order of the
+ * stream decides between concurrent proposals. The ranks only keep the number of appends small.
  */
 final class GenerationProposer {
-    /** Lets VMs that start or die together fall into one generation. */
+    /** Delay that lets VMs that start or die together fall into one generation. */
     private static final long SETTLING_MILLIS = 100;
 
-    /** The same when the change would need the long wait: VMs that restart together may turn it into a short one. */
+    /**
+     * The same if the change would need the long wait. VMs that restart together may still make the short wait
+     * sufficient.
+     */
     private static final long LONG_SETTLING_MILLIS = 2_000;
 
-    /** Head start of each rank over the next, longer than an append and its read. */
-    private static final long RANK_MILLIS = 1_000;
+    /** Delay of each rank after the one before, longer than an append and its read take. */
+    private static final long RANK_DELAY_MILLIS = 1_000;
 
-    /** Entries beyond these never propose: three dead coordinators at once are waited out by the fourth. */
-    private static final int PROPOSERS = 4;
+    /**
+     * Entries of this rank and above never propose. If the first three are dead at once, the fourth proposes after
+     * three rank delays.
+     */
+    private static final int MAXIMUM_PROPOSERS = 4;
 
-    /** An append that was lost, or that met an outage, is tried again after this time. */
-    private static final long REPEAT_MILLIS = 2_000;
+    /** A proposal that was lost, or was made in an outage of the log, is appended again after this time. */
+    private static final long RETRY_MILLIS = 2_000;
 
     private final VmId self;
     private final LimitSettings settings;
     private Generation generation = Generation.none();
-    private Set<VmId> desired = Set.of();
-    /** Kept, as comparing hundreds of members at every tick shows as processor time. */
-    private boolean differs;
+    private Set<VmId> liveEntries = Set.of();
+    /** Cached, because a comparison of hundreds of members at every tick takes noticeable processor time. */
+    private boolean membersDiffer;
 
-    private long differsSinceMillis = Long.MIN_VALUE;
+    private long membersDifferSinceMillis = Long.MIN_VALUE;
     private long proposedMillis = Long.MIN_VALUE / 2;
-    private long reclaimedMillis = Long.MIN_VALUE / 2;
-    private long stoppedMillis = Long.MIN_VALUE / 2;
+    private long reclaimableMillis = Long.MIN_VALUE / 2;
+    private long excludedStoppedMillis = Long.MIN_VALUE / 2;
 
     GenerationProposer(VmId self, LimitSettings settings) {
         this.self = self;
@@ -54,30 +60,30 @@
                 live.add(member.id());
             }
         }
-        if (!live.equals(desired)) {
-            desired = live;
-            differsSinceMillis = nowMillis;
-            differs = !live.equals(generation.members);
+        if (!live.equals(liveEntries)) {
+            liveEntries = live;
+            membersDifferSinceMillis = nowMillis;
+            membersDiffer = !live.equals(generation.members);
         }
     }
 
     void onGeneration(long nowMillis, Generation next) {
         generation = next;
-        differs = !desired.isEmpty() && !desired.equals(next.members);
-        differsSinceMillis = nowMillis;
+        membersDiffer = !liveEntries.isEmpty() && !liveEntries.equals(next.members);
+        membersDifferSinceMillis = nowMillis;
         proposedMillis = Long.MIN_VALUE / 2;
-        if (next.excludes()) {
-            reclaimedMillis = nowMillis + CarryOver.waitMillis(next.record, settings);
-            stoppedMillis = nowMillis + settings.stoppedAfterMillis() + settings.listLagMillis();
+        if (next.excludesFormerMembers()) {
+            reclaimableMillis = nowMillis + CarryOver.waitMillis(next.record, settings);
+            excludedStoppedMillis = nowMillis + settings.expiryWaitMillis() + settings.listLagMillis();
         }
     }
 
     void tick(long nowMillis, Consumer<LimitGenerationProposal> appender) {
-        if (!differs) {
+        if (!membersDiffer) {
             return;
         }
         LimitGenerationRecord record = record(nowMillis);
-        if (nowMillis < dueMillis(record) || nowMillis - proposedMillis < REPEAT_MILLIS) {
+        if (nowMillis < dueMillis(record) || nowMillis - proposedMillis < RETRY_MILLIS) {
             return;
         }
         proposedMillis = nowMillis;
@@ -86,44 +92,46 @@
 
     private long dueMillis(LimitGenerationRecord record) {
         int rank = record.members().indexOf(self);
-        if (rank >= PROPOSERS) {
+        if (rank >= MAXIMUM_PROPOSERS) {
             return Long.MAX_VALUE;
         }
         long settling = record.longWait() ? LONG_SETTLING_MILLIS : SETTLING_MILLIS;
-        long due = differsSinceMillis + settling + rank * RANK_MILLIS;
-        // A new generation starts the wait for reclaimed parts anew. One that only lets VMs join gives them nothing
-        // before the parts are there, so it comes after them; otherwise a fleet that restarts one VM at a time would
-        // put its accounts' parts off for ever.
-        boolean onlyJoins = desired.containsAll(generation.members);
-        return onlyJoins ? Math.max(due, reclaimedMillis + SETTLING_MILLIS) : due;
+        long due = membersDifferSinceMillis + settling + rank * RANK_DELAY_MILLIS;
+        // A new generation restarts the wait for reclaimed parts. VMs that join get no parts before these are
+        // available, so a generation that only adds VMs is proposed after that wait. Otherwise, a fleet that restarts
+        // one VM at a time would never grant the reclaimed parts.
+        boolean onlyJoins = liveEntries.containsAll(generation.members);
+        return onlyJoins ? Math.max(due, reclaimableMillis + SETTLING_MILLIS) : due;
     }
 
     private LimitGenerationRecord record(long nowMillis) {
-        List<VmId> members = desired.stream()
+        List<VmId> members = liveEntries.stream()
                 .sorted(Comparator.comparingLong((VmId vm) -> Rendezvous.weight("coordinator", vm.name()))
                         .thenComparing(VmId::name))
                 .toList();
         List<VmId> former = generation.record.members();
-        boolean excludes = !desired.containsAll(former);
+        boolean excludesFormerMembers = !liveEntries.containsAll(former);
         return new LimitGenerationRecord(
-                generation.offset, self, members, former, excludes && needsLongWait(nowMillis, former));
+                generation.offset, self, members, former, excludesFormerMembers && needsLongWait(nowMillis, former));
     }
 
     /**
-     * Whether VMs that are left out could still get words from a majority when every carrier has read the new generation.
-     * A former member gives no more words once it has read it, or once a newer incarnation runs on its VM.
+     * Whether excluded VMs could still get confirmations from a majority when every survivor has read the new
+     * generation. A former member no longer confirms once it has read that generation, or once a newer incarnation runs
+     * on its VM.
      */
     private boolean needsLongWait(long nowMillis, List<VmId> former) {
-        long silent = former.stream().filter(this::givesNoMoreWords).count();
-        boolean formerStepIsOver = nowMillis >= stoppedMillis;
-        if (formerStepIsOver) {
-            return silent <= former.size() / 2;
+        long stoppedConfirming =
+                former.stream().filter(this::hasStoppedConfirming).count();
+        boolean previousChangeIsOver = nowMillis >= excludedStoppedMillis;
+        if (previousChangeIsOver) {
+            return stoppedConfirming <= former.size() / 2;
         }
-        return silent < former.size() || generation.record.longWait();
+        return stoppedConfirming < former.size() || generation.record.longWait();
     }
 
-    private boolean givesNoMoreWords(VmId vm) {
-        return desired.stream()
+    private boolean hasStoppedConfirming(VmId vm) {
+        return liveEntries.stream()
                 .anyMatch(live -> live.name().equals(vm.name()) && live.incarnation() >= vm.incarnation());
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/limit/Holders.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/HolderHints.java
@@ -7,25 +7,25 @@
 import org.quetzalshunt.core.vm.VmId;
 
 /**
- * What an account's home knows of the other entries: who asked of late, and so may hold parts, and for how much traffic.
- * Only hints: a wrong one costs a message, never a token.
+ * At an account's home, the other entries that requested tokens recently and therefore may hold parts, with their
+ * demand. These are only hints: a wrong one costs a message, never a token.
  */
-final class Holders {
-    /** Holders that a home remembers of one account; more would not be asked in time anyway. */
-    private static final int MOST_HOLDERS = 16;
+final class HolderHints {
+    /** Holders that a home remembers for one account. More could not be asked in time. */
+    private static final int MAXIMUM_HOLDERS = 16;
 
-    /** A demand that was not heard of again for this time has gone elsewhere. */
-    private static final long FRESH_MILLIS = 1_000;
+    /** A demand that was not reported again within this time counts as ended. */
+    private static final long DEMAND_VALIDITY_MILLIS = 1_000;
 
     private final Map<VmId, Hint> hints = new LinkedHashMap<>();
 
     private record Hint(long demandMilliTokens, long millis) {}
 
-    /** Notes an entry that may hold parts, as the most recent one. */
-    void note(long nowMillis, VmId holder, long demandMilliTokens) {
+    /** Records an entry that may hold parts, as the most recent one. */
+    void recordHolder(long nowMillis, VmId holder, long demandMilliTokens) {
         hints.remove(holder);
         hints.put(holder, new Hint(demandMilliTokens, nowMillis));
-        if (hints.size() > MOST_HOLDERS) {
+        if (hints.size() > MAXIMUM_HOLDERS) {
             hints.remove(hints.keySet().iterator().next());
         }
     }
@@ -39,18 +39,18 @@
         return new ArrayList<>(hints.keySet());
     }
 
-    /** Whether an entry asked within the time before now. */
-    boolean askedWithin(long nowMillis, long millis, VmId holder) {
+    /** Whether an entry requested tokens within a time before now. */
+    boolean requestedWithin(long nowMillis, long millis, VmId holder) {
         Hint hint = hints.get(holder);
         return hint != null && nowMillis - hint.millis() <= millis;
     }
 
-    /** Tokens a second that the entries but one asked for of late. */
+    /** Tokens per second that all entries but one requested recently. */
     double demandPerSecond(long nowMillis, VmId except) {
         double sum = 0;
         for (Map.Entry<VmId, Hint> entry : hints.entrySet()) {
             Hint hint = entry.getValue();
-            if (!entry.getKey().equals(except) && nowMillis - hint.millis() < FRESH_MILLIS) {
+            if (!entry.getKey().equals(except) && nowMillis - hint.millis() < DEMAND_VALIDITY_MILLIS) {
                 sum += hint.demandMilliTokens() / 1_000.0;
             }
         }
--- a/core/src/main/java/org/quetzalshunt/core/limit/LimitGenerationProposal.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/LimitGenerationProposal.java
@@ -1,8 +1,8 @@
 package org.quetzalshunt.core.limit;
 
 /**
- * A generation that a VM would append to the configuration stream.
+ * A generation that a VM proposes to append to the configuration stream.
  *
- * @param record what to append
+ * @param record record to append
  */
 public record LimitGenerationProposal(LimitGenerationRecord record) {}
--- a/core/src/main/java/org/quetzalshunt/core/limit/LimitMessage.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/LimitMessage.java
@@ -4,30 +4,31 @@
 import org.quetzalshunt.core.vm.VmId;
 
 /**
- * A message between the limits of two entries. Every one names the generation that it belongs to; except for the words
+ * A message between the limits of two entries. Every message names the generation that it belongs to. Except for those
  * about leases, a message of another generation than the receiver's is void.
  */
 public sealed interface LimitMessage {
 
-    /** A part of the bucket is counted in millionths of the account's rate and burst. */
+    /** Number of parts in the whole of an account's rate and burst: parts are counted in millionths. */
     long ALL_PARTS = 1_000_000;
 
-    /** Tokens are counted in millionths. */
+    /** Micro-tokens per token: tokens are counted in millionths. */
     long MICRO_TOKENS = 1_000_000;
 
     /** Offset of the generation's record. */
     long generation();
 
     /**
-     * Asks for tokens. Sent to the account's home, which gives what it can and passes the rest on.
+     * Requests tokens. It is sent to the account's home, which transfers what it can and forwards the request for the
+     * rest.
      *
-     * @param generation generation of the asker
+     * @param generation generation of the requester
      * @param key account
-     * @param asker who lacks tokens; transfers go straight to it
+     * @param asker VM that is short of tokens; transfers go directly to it
      * @param wantedMicroTokens tokens wanted, in millionths
-     * @param heldParts parts that the asker holds, in millionths
-     * @param demandMilliTokens tokens a second that the asker's callers ask for, in thousandths
-     * @param passedOn whether the home passed it on; such a request is not passed on again
+     * @param heldParts parts that the requester holds, in millionths
+     * @param demandMilliTokens tokens per second that the requester's callers request, in thousandths
+     * @param passedOn whether the home forwarded it; such a request is not forwarded again
      */
     record Request(
             long generation,
@@ -40,14 +41,15 @@
             implements LimitMessage {}
 
     /**
-     * Moves a part of the bucket with the tokens in it. The sender has given it up before it sends.
+     * Moves parts of the bucket with their tokens. The sender removes them from its own bucket before it sends the
+     * message.
      *
-     * @param generation generation of both sides
-     * @param transfer number of the transfer, counted by sender and receiver from 1 in each generation
-     * @param settledBelow every number below this was acknowledged, so that the receiver may forget them
+     * @param generation generation of sender and receiver
+     * @param transfer number of the transfer, counted from 1 for each sender and receiver in each generation
+     * @param settledBelow every lower number was acknowledged, so that the receiver may forget these numbers
      * @param key account
      * @param parts parts in millionths of rate and burst
-     * @param microTokens tokens in millionths, no more than the parts have room for
+     * @param microTokens tokens in millionths, at most the capacity of the parts
      */
     record Transfer(long generation, long transfer, long settledBelow, AccountKey key, long parts, long microTokens)
             implements LimitMessage {}
@@ -56,15 +58,15 @@
      * Acknowledges a transfer, so that it is not sent again.
      *
      * @param generation generation of the transfer
-     * @param transfer its number
+     * @param transfer number of the transfer
      */
     record TransferAcknowledgement(long generation, long transfer) implements LimitMessage {}
 
     /**
-     * Tells a home what a member carried over from the former generation.
+     * Reports to a home the parts that a member carried over from the former generation.
      *
      * @param generation the new generation
-     * @param holdings parts carried, for every account of that home of which the member holds any
+     * @param holdings parts carried over, for every account of that home of which the member holds any
      */
     record CarryReport(long generation, List<Holding> holdings) implements LimitMessage {}
 
@@ -76,18 +78,18 @@
     record CarryAcknowledgement(long generation) implements LimitMessage {}
 
     /**
-     * Asks for a word that no newer generation is known.
+     * Requests the confirmation that no newer generation is known.
      *
-     * @param generation generation of the asker
-     * @param sentMillis time of sending by the asker's clock
+     * @param generation generation of the requester
+     * @param sentMillis time of sending by the requester's clock
      */
     record LeaseRequest(long generation, long sentMillis) implements LimitMessage {}
 
     /**
-     * The word that its sender had read no newer generation when it answered.
+     * Confirms that its sender had read no newer generation when it answered.
      *
-     * @param generation generation of the asker
-     * @param sentMillis the asker's own time, given back
+     * @param generation generation of the requester
+     * @param sentMillis time of the request by the requester's clock, copied from it
      */
     record LeaseWord(long generation, long sentMillis) implements LimitMessage {}
 
--- a/core/src/main/java/org/quetzalshunt/core/limit/LimitPort.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/LimitPort.java
@@ -3,18 +3,18 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** What the limits ask of the process around them. Both calls return at once and may fail without a word. */
+/** Connects the limits to the process that hosts them. Both methods return at once and may fail silently. */
 public interface LimitPort {
-    /** Sends a message to the VM of this name; it may be lost, late or doubled on the way. */
+    /** Sends a message to the VM of this name. The message may be lost, delayed or duplicated. */
     void send(String vm, LimitMessage message);
 
     /**
-     * Appends a proposal to the configuration stream. The answer does not matter: the proposal is in force when it is
-     * read back from the stream, and void when another one based on the same generation comes first.
+     * Appends a proposal to the configuration stream. The result does not matter: the proposal takes effect when it is
+     * read back from the stream, and is void if another one based on the same generation comes first.
      */
     void appendGeneration(LimitGenerationProposal proposal);
 
-    /** Joins two functions. */
+    /** Creates a port from two functions. */
     static LimitPort of(BiConsumer<String, LimitMessage> sender, Consumer<LimitGenerationProposal> appender) {
         return new LimitPort() {
             @Override
--- a/core/src/main/java/org/quetzalshunt/core/limit/LimitStatus.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/LimitStatus.java
@@ -1,18 +1,18 @@
 package org.quetzalshunt.core.limit;
 
 /**
- * What one entry holds of one account, for status pages and metrics.
+ * The state of one account at one entry, for status pages and metrics.
  *
  * @param key account
- * @param requestsPerSecond rate of the whole fleet
- * @param burst burst of the whole fleet
- * @param parts this entry's part in millionths
- * @param tokens tokens at hand here
+ * @param requestsPerSecond rate over the whole fleet
+ * @param burst burst over the whole fleet
+ * @param parts this entry's parts, in millionths
+ * @param tokens tokens available at this entry
  * @param partsInTransfer parts sent and not yet acknowledged, in millionths
- * @param waiting requests that wait for tokens here
- * @param demandPerSecond requests a second that came here of late
- * @param taken tokens taken here since the start, less those given back
- * @param refused requests refused here since the start
+ * @param waiting requests that wait for tokens at this entry
+ * @param demandPerSecond requests per second that recently arrived at this entry
+ * @param taken tokens taken at this entry since its start, less those returned
+ * @param refused requests refused at this entry since its start
  */
 public record LimitStatus(
         AccountKey key,
--- a/core/src/main/java/org/quetzalshunt/core/limit/LimitStatuses.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/LimitStatuses.java
@@ -2,7 +2,7 @@
 
 import static org.quetzalshunt.core.limit.LimitMessage.MICRO_TOKENS;
 
-/** Turns rows into what status pages show. */
+/** Creates the status of an account from its bucket. */
 final class LimitStatuses {
     private LimitStatuses() {}
 
--- a/core/src/main/java/org/quetzalshunt/core/limit/PartMover.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/PartMover.java
@@ -11,19 +11,24 @@
 import org.quetzalshunt.core.membership.Rendezvous;
 import org.quetzalshunt.core.vm.VmId;
 
-/** Moves parts between this entry and others: what is asked for, what is of no use here, and everything at a stop. */
+/**
+ * Transfers parts between this entry and others: on request, when they are not needed here, and all of them in a
+ * graceful shutdown.
+ */
 final class PartMover {
-    /** An account without traffic for this time gives its part back to its home, where the next entry looks first. */
+    /** An account without traffic for this time returns its parts to its home, which other entries ask first. */
     private static final long IDLE_MILLIS = 5_000;
 
-    /** Idle accounts are looked for this often. */
+    /** Interval of the search for idle accounts. */
     private static final long IDLE_SWEEP_MILLIS = 1_000;
 
-    /** An entry that holds this much is the only one with traffic, and keeps it. */
+    /** An entry that holds this many parts is the only one with traffic and keeps them. */
     private static final long NEARLY_ALL_PARTS = ALL_PARTS * 15 / 16;
 
-    /** The part of a hand-over that may be lost to a VM that does not answer. */
-    private static final int FIRST_SLICE_DIVISOR = 16;
+    /**
+     * Divisor of the parts that are first sent to a VM that has not responded recently, and that may be lost with it.
+     */
+    private static final int PROBE_DIVISOR = 16;
 
     private final VmId self;
     private final Lease lease;
@@ -32,7 +37,7 @@
     private final TransferLedger ledger = new TransferLedger();
     private Generation generation = Generation.none();
     private long nextIdleSweepMillis = Long.MIN_VALUE;
-    private long brokenPromises;
+    private long invariantViolations;
     private boolean leaving;
 
     PartMover(VmId self, Lease lease, TokenFetcher fetcher, BiConsumer<VmId, LimitMessage> sender) {
@@ -42,93 +47,94 @@
         this.sender = sender;
     }
 
-    /** Transfers of the former generation are void on both sides, so nothing of them is kept. */
+    /** Drops all transfers of the former generation, which are void at both sender and receiver. */
     void onGeneration(Generation next) {
         generation = next;
         ledger.clear();
     }
 
-    /** Gives an asker what this entry can do without; a home passes on what is still wanted. */
+    /** Sends the requester what this entry can spare. A home forwards the request for the remainder. */
     void onRequest(long nowMillis, Bucket bucket, Request request) {
-        long given = 0;
-        if (lease.holds(nowMillis)) {
-            Sharing.Gift gift = request.passedOn()
-                    ? Sharing.ofHolder(nowMillis, bucket, request)
-                    : Sharing.ofHome(nowMillis, bucket, request);
-            give(nowMillis, bucket, request.asker(), gift);
-            given = gift.microTokens();
+        long sentMicroTokens = 0;
+        if (lease.isValid(nowMillis)) {
+            Sharing.TransferAmount amount = request.passedOn()
+                    ? Sharing.fromHolder(nowMillis, bucket, request)
+                    : Sharing.fromHome(nowMillis, bucket, request);
+            sendParts(nowMillis, bucket, request.asker(), amount);
+            sentMicroTokens = amount.microTokens();
         }
         if (!request.passedOn()) {
-            fetcher.passOn(nowMillis, bucket, request, given);
-            bucket.holders.note(nowMillis, request.asker(), request.demandMilliTokens());
+            fetcher.forward(nowMillis, bucket, request, sentMicroTokens);
+            bucket.holderHints.recordHolder(nowMillis, request.asker(), request.demandMilliTokens());
         }
     }
 
-    private void give(long nowMillis, Bucket bucket, VmId to, Sharing.Gift gift) {
-        if (gift.parts() == 0) {
+    private void sendParts(long nowMillis, Bucket bucket, VmId to, Sharing.TransferAmount amount) {
+        if (amount.parts() == 0) {
             return;
         }
-        bucket.moved = true;
-        bucket.remove(nowMillis, gift.parts(), gift.microTokens());
-        sender.accept(to, ledger.send(nowMillis, to, generation.offset, bucket.key, gift.parts(), gift.microTokens()));
+        bucket.partsMoved = true;
+        bucket.removeParts(nowMillis, amount.parts(), amount.microTokens());
+        sender.accept(
+                to, ledger.send(nowMillis, to, generation.offset, bucket.key, amount.parts(), amount.microTokens()));
     }
 
-    /** Takes in a transfer, once, and acknowledges every copy. */
+    /** Applies a transfer unless it is a duplicate, and acknowledges every copy. */
     void onTransfer(long nowMillis, VmId from, Bucket bucket, Transfer transfer) {
         sender.accept(from, new TransferAcknowledgement(transfer.generation(), transfer.transfer()));
         if (ledger.receive(from, transfer)) {
-            bucket.moved = true;
-            add(nowMillis, bucket, transfer.parts(), transfer.microTokens());
+            bucket.partsMoved = true;
+            addParts(nowMillis, bucket, transfer.parts(), transfer.microTokens());
         }
     }
 
     void onAcknowledgement(long nowMillis, VmId by, long transfer) {
-        ledger.acknowledged(nowMillis, by, transfer);
+        ledger.onAcknowledgement(nowMillis, by, transfer);
     }
 
-    void repeat(long nowMillis) {
-        ledger.repeat(nowMillis, sender::accept);
+    void retransmit(long nowMillis) {
+        ledger.retransmit(nowMillis, sender::accept);
     }
 
-    /** Adds parts to a row, and counts it as a broken promise if they come to more than there are. */
-    void add(long nowMillis, Bucket bucket, long parts, long microTokens) {
+    /** Adds parts to a bucket. Counts an invariant violation if they exceed the whole. */
+    void addParts(long nowMillis, Bucket bucket, long parts, long microTokens) {
         if (bucket.parts() + parts > ALL_PARTS) {
-            brokenPromises++;
+            invariantViolations++;
         }
-        bucket.add(nowMillis, parts, microTokens);
+        bucket.addParts(nowMillis, parts, microTokens);
     }
 
-    /** Brings back to the home what is of no use here, so that another entry finds it there. */
-    void bringBack(long nowMillis, Bucket bucket) {
+    /** Returns unneeded parts to the home, where other entries can request them. */
+    void returnSurplus(long nowMillis, Bucket bucket) {
         if (bucket.parts() == 0 || bucket.parts() >= NEARLY_ALL_PARTS) {
             return;
         }
         bucket.accrue(nowMillis);
-        // A piece without room for one token runs full and never serves the requests that wait for it.
-        boolean hopeless = bucket.isFull() && !bucket.hasToken();
-        if (!bucket.waiting.isEmpty() && !hopeless) {
+        // A part with a capacity below one token fills up but can never serve a waiting request.
+        boolean canNeverServe = bucket.isFull() && !bucket.hasToken();
+        if (!bucket.waiting.isEmpty() && !canNeverServe) {
             return;
         }
-        Sharing.Gift surplus = Sharing.surplus(nowMillis, bucket);
-        if (surplus.parts() > 0 && lease.holds(nowMillis)) {
-            heir(bucket.key).ifPresent(vm -> handTo(nowMillis, bucket, vm, surplus));
+        Sharing.TransferAmount surplus = Sharing.surplus(nowMillis, bucket);
+        if (surplus.parts() > 0 && lease.isValid(nowMillis)) {
+            recipient(bucket.key).ifPresent(vm -> sendUnrequested(nowMillis, bucket, vm, surplus));
         }
     }
 
     /**
-     * Hands over what nobody asked for. Guards against parts handed to a home that has just died, which would show as
-     * refusals far beyond the dead entry's own share until the next generation: all of it goes only to a VM that
-     * acknowledged something of late; to another a small part goes first.
+     * Transfers parts that were not requested. Guards against parts sent to a home that has just died, which would
+     * cause refusals far beyond the dead entry's own share until the next generation. All parts go only to a VM that
+     * acknowledged a transfer recently. Any other VM first gets a small fraction.
      */
-    private void handTo(long nowMillis, Bucket bucket, VmId heir, Sharing.Gift gift) {
-        if (leaving || ledger.isResponsive(nowMillis, heir)) {
-            give(nowMillis, bucket, heir, gift);
+    private void sendUnrequested(long nowMillis, Bucket bucket, VmId recipient, Sharing.TransferAmount amount) {
+        if (leaving || ledger.isResponsive(nowMillis, recipient)) {
+            sendParts(nowMillis, bucket, recipient, amount);
             return;
         }
-        long parts = gift.parts() / FIRST_SLICE_DIVISOR;
-        if (!ledger.isPending(heir) && parts > 0) {
-            long tokens = Math.min(gift.microTokens() / FIRST_SLICE_DIVISOR, bucket.capacityOf(parts));
-            give(nowMillis, bucket, heir, new Sharing.Gift(parts, tokens));
+        long parts = amount.parts() / PROBE_DIVISOR;
+        if (!ledger.isPending(recipient) && parts > 0) {
+            long tokens = Math.min(amount.microTokens() / PROBE_DIVISOR, bucket.capacityOf(parts));
+            sendParts(nowMillis, bucket, recipient, new Sharing.TransferAmount(parts, tokens));
         }
     }
 
@@ -136,27 +142,30 @@
         return generation.home(key).filter(self::equals).isPresent();
     }
 
-    /** Gives the parts of idle accounts to their homes; a leaving entry gives all parts to whoever stays. */
-    void sweepIdle(long nowMillis, List<Bucket> rows) {
+    /** Returns the parts of idle accounts to their homes. An entry that is shutting down transfers all parts. */
+    void sweepIdle(long nowMillis, List<Bucket> buckets) {
         if (!leaving && nowMillis < nextIdleSweepMillis) {
             return;
         }
         nextIdleSweepMillis = nowMillis + IDLE_SWEEP_MILLIS;
-        if (!generation.contains(self) || !lease.holds(nowMillis)) {
+        if (!generation.contains(self) || !lease.isValid(nowMillis)) {
             return;
         }
-        for (Bucket bucket : rows) {
+        for (Bucket bucket : buckets) {
             boolean idle = leaving || nowMillis - bucket.lastTakeMillis >= IDLE_MILLIS;
             if (idle && bucket.parts() > 0 && bucket.waiting.isEmpty()) {
                 bucket.accrue(nowMillis);
-                Sharing.Gift all = new Sharing.Gift(bucket.parts(), bucket.level());
-                heir(bucket.key).ifPresent(vm -> handTo(nowMillis, bucket, vm, all));
+                Sharing.TransferAmount everything = new Sharing.TransferAmount(bucket.parts(), bucket.level());
+                recipient(bucket.key).ifPresent(vm -> sendUnrequested(nowMillis, bucket, vm, everything));
             }
         }
     }
 
-    /** Who keeps what is not used here: the account's home; for a leaving home, any live member. */
-    private Optional<VmId> heir(AccountKey key) {
+    /**
+     * The VM that receives parts not needed here: the account's home or, if the home is unavailable or shutting down,
+     * any live member.
+     */
+    private Optional<VmId> recipient(AccountKey key) {
         Optional<VmId> home = generation.home(key);
         if (isHome(key) && !leaving) {
             return Optional.empty();
@@ -167,12 +176,12 @@
         List<VmId> live = generation.record.members().stream()
                 .filter(vm -> !vm.equals(self) && fetcher.isAlive(vm))
                 .toList();
-        return Rendezvous.winner(key.hashText(), live.stream().map(VmId::name).toList())
+        return Rendezvous.winner(key.hashKey(), live.stream().map(VmId::name).toList())
                 .flatMap(name ->
                         live.stream().filter(vm -> vm.name().equals(name)).findFirst());
     }
 
-    void leave() {
+    void startLeaving() {
         leaving = true;
     }
 
@@ -188,7 +197,7 @@
         return ledger.pendingParts(key);
     }
 
-    long brokenPromises() {
-        return brokenPromises;
+    long invariantViolations() {
+        return invariantViolations;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/limit/Reclaim.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/Reclaim.java
@@ -12,35 +12,35 @@
 import org.quetzalshunt.core.vm.VmId;
 
 /**
- * What a home may grant because of one generation: the parts that no member carried into it, once those who were left
- * out of it have stopped.
+ * The parts that a home may grant because of one change of generation: those that no member carried over, once all
+ * excluded members have stopped.
  *
- * <p>It outlives its generation as long as the same VM stays the account's home: what nobody carried into one generation
- * nobody holds in the next either, unless this home granted it. Without that, a fleet in which VMs die one after the
- * other would begin the wait anew each time and never grant.
+ * <p>It stays in effect in later generations for as long as the same VM is the account's home. Parts that no member
+ * carried into one generation are not held in the next either, unless this home granted them. Otherwise, a fleet whose
+ * VMs die one after the other would restart the wait each time and never grant the parts.
  */
 final class Reclaim {
     private final VmId self;
     private final long waitMillis;
-    private final List<Generation> span = new ArrayList<>();
-    private final Set<VmId> awaited = new HashSet<>();
-    private final Map<AccountKey, Long> held = new HashMap<>();
+    private final List<Generation> generations = new ArrayList<>();
+    private final Set<VmId> awaitedReports = new HashSet<>();
+    private final Map<AccountKey, Long> heldParts = new HashMap<>();
     private long completeMillis;
 
-    /** A home awaits the reports of all carriers but itself; its own holdings are counted at once. */
+    /** Waits for the reports of all survivors except this VM, whose own holdings are counted at once. */
     Reclaim(VmId self, long nowMillis, Generation generation, List<Holding> ownHoldings, long waitMillis) {
         this.self = self;
         this.waitMillis = waitMillis;
         this.completeMillis = nowMillis;
-        span.add(generation);
-        awaited.addAll(generation.carriers());
-        awaited.remove(self);
+        generations.add(generation);
+        awaitedReports.addAll(generation.survivors());
+        awaitedReports.remove(self);
         ownHoldings.forEach(this::count);
     }
 
     /** Counts a survivor's report, once. */
     void onReport(long nowMillis, VmId from, List<Holding> holdings) {
-        if (!awaited.remove(from)) {
+        if (!awaitedReports.remove(from)) {
             return;
         }
         holdings.forEach(this::count);
@@ -48,38 +48,38 @@
     }
 
     private void count(Holding holding) {
-        held.merge(holding.key(), holding.parts(), Long::sum);
+        heldParts.merge(holding.key(), holding.parts(), Long::sum);
     }
 
     boolean isComplete() {
-        return awaited.isEmpty();
+        return awaitedReports.isEmpty();
     }
 
     long dueMillis() {
         return isComplete() ? completeMillis + waitMillis : Long.MAX_VALUE;
     }
 
-    /** Notes that another generation came, in which the home of an account may be another VM. */
-    void outlives(Generation next) {
-        span.add(next);
+    /** Records a later generation, in which the home of an account may be another VM. */
+    void addGeneration(Generation next) {
+        generations.add(next);
     }
 
-    /** Parts of an account that nobody holds; 0 where another VM is, or has been, the account's home. */
-    long unheld(long nowMillis, AccountKey key) {
+    /** Parts of an account that no entry holds; 0 if another VM is or has been the account's home. */
+    long unheldParts(long nowMillis, AccountKey key) {
         if (nowMillis < dueMillis() || !isHome(key)) {
             return 0;
         }
-        return Math.max(0, ALL_PARTS - held.getOrDefault(key, 0L));
+        return Math.max(0, ALL_PARTS - heldParts.getOrDefault(key, 0L));
     }
 
     private boolean isHome(AccountKey key) {
-        return span.stream()
+        return generations.stream()
                 .allMatch(
                         generation -> generation.home(key).filter(self::equals).isPresent());
     }
 
-    /** Notes what this home granted; it is held from now on. */
-    void granted(AccountKey key, long parts) {
-        held.merge(key, parts, Long::sum);
+    /** Records parts that this home granted and that are therefore held from now on. */
+    void recordGrant(AccountKey key, long parts) {
+        heldParts.merge(key, parts, Long::sum);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/limit/Sharing.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/Sharing.java
@@ -4,127 +4,133 @@
 import static org.quetzalshunt.core.limit.LimitMessage.MICRO_TOKENS;
 
 /**
- * How much of its part an entry gives to one that lacks tokens.
+ * Decides which parts and tokens an entry transfers to another that is short of tokens.
  *
- * <p>Answers traffic that is uneven over the entries, or that moves between them: without it an account whose callers
- * all reach one entry would get one entry's share of its rate. Parts follow demand, tokens follow need.
+ * <p>Load pattern: traffic that is uneven over the entries, or that moves between them. If parts did not move, an
+ * account whose callers all reach one entry would get only that entry's share of its rate. Parts are divided by demand,
+ * tokens by need.
  *
- * <p>It also answers a burst that is small for the number of entries. Split among twelve entries, a burst of twenty
- * leaves each a bucket of less than two tokens, which runs full and wastes its rate while another runs dry. Such an
- * account is pooled: its home keeps the parts, and the others fetch tokens as they need them and bring the parts back.
+ * <p>Load pattern: a burst that is small for the number of entries. Split among twelve entries, a burst of twenty
+ * leaves each a bucket of less than two tokens, which fills up and wastes its rate while another is empty. The parts of
+ * such an account are pooled at its home. The other entries fetch tokens when they need them and return the parts.
  */
 final class Sharing {
-    /** Tokens for this much of its own traffic stay with the giver: the time in which it could fetch them back. */
+    /** The sender keeps tokens for this much of its own traffic, the time in which it could fetch them back. */
     private static final double RESERVE_SECONDS = 0.05;
 
-    /** An entry whose demand is below this part of the asker's has none to speak of, and gives everything. */
+    /** An entry whose demand is below this fraction of the requester's counts as idle and transfers everything. */
     private static final double IDLE_FRACTION = 0.01;
 
-    /** Smaller moves of rate are left undone: two entries of like demand would pass the difference to and fro. */
-    private static final int SMALLEST_MOVE_DIVISOR = 16;
+    /** Smaller moves of rate are not made: two entries of similar demand would send the difference back and forth. */
+    private static final int MINIMUM_MOVE_DIVISOR = 16;
 
-    /** Tokens below a twentieth are not worth a message. */
-    private static final long FEWEST_MICRO_TOKENS = MICRO_TOKENS / 20;
+    /** Fewer tokens than a twentieth are not worth a message. */
+    private static final long MINIMUM_MICRO_TOKENS = MICRO_TOKENS / 20;
 
-    /** Room for this many tokens smooths arrivals that fall on the entries by chance: four deviations of sixteen. */
+    /** Capacity for this many tokens absorbs random arrivals: four standard deviations of sixteen arrivals. */
     private static final long SMOOTHING_TOKENS = 16;
 
-    /** The same for larger traffic, as time. */
+    /** The same for larger traffic, as a time. */
     private static final double SMOOTHING_SECONDS = 0.1;
 
-    /** Pooled parts stay this long after a request, as the next one may follow. */
-    private static final long POOLED_MILLIS = 20;
+    /** Pooled parts stay for this long after a request, as another may follow. */
+    private static final long POOLED_PARTS_RETENTION_MILLIS = 20;
 
-    /** A full bucket keeps a quarter more rate than its demand, so that it does not ask for it back at once. */
-    private static final double KEPT_OVER_DEMAND = 1.25;
+    /**
+     * An entry with a full bucket keeps a quarter more rate than its demand, so that it does not request it back at
+     * once.
+     */
+    private static final double KEPT_RATE_FACTOR = 1.25;
 
     private Sharing() {}
 
     /**
-     * What to give.
+     * What to transfer.
      *
-     * @param parts parts in millionths; 0 for nothing
-     * @param microTokens tokens that go with them
+     * @param parts parts in millionths; 0 for no transfer
+     * @param microTokens tokens that move with the parts
      */
-    record Gift(long parts, long microTokens) {
-        static final Gift NOTHING = new Gift(0, 0);
+    record TransferAmount(long parts, long microTokens) {
+        static final TransferAmount NONE = new TransferAmount(0, 0);
     }
 
-    /** Whether a bucket of this room is too small to serve a demand by itself. */
-    static boolean isTooSmall(double roomMicroTokens, double demandPerSecond) {
-        return roomMicroTokens < (SMOOTHING_TOKENS + demandPerSecond * SMOOTHING_SECONDS) * MICRO_TOKENS;
+    /** Whether a bucket of this capacity is too small to serve a demand by itself. */
+    static boolean isTooSmallToSplit(double capacityMicroTokens, double demandPerSecond) {
+        return capacityMicroTokens < (SMOOTHING_TOKENS + demandPerSecond * SMOOTHING_SECONDS) * MICRO_TOKENS;
     }
 
-    /** What a home gives, which knows the demand of the other entries. */
-    static Gift ofHome(long nowMillis, Bucket giver, LimitMessage.Request request) {
-        if (giver.parts() == 0) {
-            return Gift.NOTHING;
+    /** What a home, which knows the demand of the other entries, transfers to a requester. */
+    static TransferAmount fromHome(long nowMillis, Bucket sender, LimitMessage.Request request) {
+        if (sender.parts() == 0) {
+            return TransferAmount.NONE;
         }
-        double askersDemand = request.demandMilliTokens() / 1_000.0;
-        double ownDemand = giver.demand.perSecond(nowMillis);
-        double total = askersDemand + ownDemand + giver.holders.demandPerSecond(nowMillis, request.asker());
-        double share = total > 0 ? askersDemand / total : 1;
-        boolean alone = share > 1 - IDLE_FRACTION && giver.waiting.isEmpty();
-        if (alone) {
-            return new Gift(giver.parts(), giver.level());
+        double requesterDemand = request.demandMilliTokens() / 1_000.0;
+        double ownDemand = sender.demand.perSecond(nowMillis);
+        double totalDemand =
+                requesterDemand + ownDemand + sender.holderHints.demandPerSecond(nowMillis, request.asker());
+        double share = totalDemand > 0 ? requesterDemand / totalDemand : 1;
+        boolean isOnlyUser = share > 1 - IDLE_FRACTION && sender.waiting.isEmpty();
+        if (isOnlyUser) {
+            return new TransferAmount(sender.parts(), sender.level());
         }
-        if (isTooSmall(giver.burstMicroTokens() * share, askersDemand)) {
-            long tokens = Math.min(request.wantedMicroTokens(), spare(giver, ownDemand));
-            boolean serves = tokens >= Math.min(MICRO_TOKENS, request.wantedMicroTokens());
-            return serves ? carrying(giver, 0, tokens) : Gift.NOTHING;
+        if (isTooSmallToSplit(sender.burstMicroTokens() * share, requesterDemand)) {
+            long tokens = Math.min(request.wantedMicroTokens(), spareMicroTokens(sender, ownDemand));
+            boolean isSufficient = tokens >= Math.min(MICRO_TOKENS, request.wantedMicroTokens());
+            return isSufficient ? withRequiredParts(sender, 0, tokens) : TransferAmount.NONE;
         }
-        return split(giver, request, ownDemand, share, ALL_PARTS);
+        return split(sender, request, ownDemand, share, ALL_PARTS);
     }
 
-    /** What an entry brings back to the home: everything of a pooled account, else the rate that runs over unused. */
-    static Gift surplus(long nowMillis, Bucket bucket) {
+    /** What an entry returns to the home: everything of a pooled account, otherwise the rate that is not used. */
+    static TransferAmount surplus(long nowMillis, Bucket bucket) {
         double demand = bucket.demand.perSecond(nowMillis);
-        boolean quiet = nowMillis - bucket.lastTakeMillis >= POOLED_MILLIS;
-        if (isTooSmall((double) bucket.capacity(), demand)) {
-            return quiet || bucket.isFull() ? new Gift(bucket.parts(), bucket.level()) : Gift.NOTHING;
+        boolean isIdle = nowMillis - bucket.lastTakeMillis >= POOLED_PARTS_RETENTION_MILLIS;
+        if (isTooSmallToSplit((double) bucket.capacity(), demand)) {
+            return isIdle || bucket.isFull() ? new TransferAmount(bucket.parts(), bucket.level()) : TransferAmount.NONE;
         }
-        double kept = demand * KEPT_OVER_DEMAND * MICRO_TOKENS / bucket.rateMicroTokens() * ALL_PARTS;
-        long unused = bucket.parts() - (long) kept;
-        if (!bucket.isFull() || unused < bucket.parts() / SMALLEST_MOVE_DIVISOR) {
-            return Gift.NOTHING;
+        double keptParts = demand * KEPT_RATE_FACTOR * MICRO_TOKENS / bucket.rateMicroTokens() * ALL_PARTS;
+        long unusedParts = bucket.parts() - (long) keptParts;
+        if (!bucket.isFull() || unusedParts < bucket.parts() / MINIMUM_MOVE_DIVISOR) {
+            return TransferAmount.NONE;
         }
-        return new Gift(unused, bucket.capacityOf(unused));
+        return new TransferAmount(unusedParts, bucket.capacityOf(unusedParts));
     }
 
-    /** What any other entry gives. */
-    static Gift ofHolder(long nowMillis, Bucket giver, LimitMessage.Request request) {
-        if (giver.parts() == 0) {
-            return Gift.NOTHING;
+    /** What an entry that is not the home transfers to a requester. */
+    static TransferAmount fromHolder(long nowMillis, Bucket sender, LimitMessage.Request request) {
+        if (sender.parts() == 0) {
+            return TransferAmount.NONE;
         }
-        double askersDemand = request.demandMilliTokens() / 1_000.0;
-        double ownDemand = giver.demand.perSecond(nowMillis);
-        boolean idle = giver.waiting.isEmpty() && ownDemand <= askersDemand * IDLE_FRACTION;
-        if (idle) {
-            return new Gift(giver.parts(), giver.level());
+        double requesterDemand = request.demandMilliTokens() / 1_000.0;
+        double ownDemand = sender.demand.perSecond(nowMillis);
+        boolean isIdle = sender.waiting.isEmpty() && ownDemand <= requesterDemand * IDLE_FRACTION;
+        if (isIdle) {
+            return new TransferAmount(sender.parts(), sender.level());
         }
-        double share = askersDemand / (askersDemand + ownDemand);
-        long together = Math.min(ALL_PARTS, giver.parts() + request.heldParts());
-        return split(giver, request, ownDemand, share, together);
+        double share = requesterDemand / (requesterDemand + ownDemand);
+        long combinedParts = Math.min(ALL_PARTS, sender.parts() + request.heldParts());
+        return split(sender, request, ownDemand, share, combinedParts);
     }
 
-    private static Gift split(
-            Bucket giver, LimitMessage.Request request, double ownDemand, double askersShare, long together) {
-        long missing = (long) (together * askersShare) - request.heldParts();
-        long parts = missing < together / SMALLEST_MOVE_DIVISOR ? 0 : Math.min(giver.parts(), missing);
-        long withTheParts = giver.level() * parts / giver.parts();
-        long tokens = Math.max(withTheParts, Math.min(request.wantedMicroTokens(), spare(giver, ownDemand)));
-        boolean dust = parts == 0 && tokens < FEWEST_MICRO_TOKENS;
-        return dust ? Gift.NOTHING : carrying(giver, parts, tokens);
+    private static TransferAmount split(
+            Bucket sender, LimitMessage.Request request, double ownDemand, double requesterShare, long combinedParts) {
+        long missingParts = (long) (combinedParts * requesterShare) - request.heldParts();
+        long parts = missingParts < combinedParts / MINIMUM_MOVE_DIVISOR ? 0 : Math.min(sender.parts(), missingParts);
+        long proportionalTokens = sender.level() * parts / sender.parts();
+        long tokens = Math.max(
+                proportionalTokens, Math.min(request.wantedMicroTokens(), spareMicroTokens(sender, ownDemand)));
+        boolean negligible = parts == 0 && tokens < MINIMUM_MICRO_TOKENS;
+        return negligible ? TransferAmount.NONE : withRequiredParts(sender, parts, tokens);
     }
 
-    private static long spare(Bucket giver, double ownDemand) {
-        long reserve = giver.waiting.size() * MICRO_TOKENS + (long) (ownDemand * RESERVE_SECONDS * MICRO_TOKENS);
-        return Math.max(0, giver.level() - reserve);
+    private static long spareMicroTokens(Bucket sender, double ownDemand) {
+        long reserve = sender.waiting.size() * MICRO_TOKENS + (long) (ownDemand * RESERVE_SECONDS * MICRO_TOKENS);
+        return Math.max(0, sender.level() - reserve);
     }
 
-    /** Adds the parts that the tokens need as room. */
-    private static Gift carrying(Bucket giver, long atLeastParts, long tokens) {
-        long parts = Math.min(giver.parts(), Math.max(atLeastParts, giver.partsFor(tokens)));
-        return new Gift(parts, Math.min(tokens, giver.capacityOf(parts)));
+    /** Adds the parts that are needed as capacity for the tokens. */
+    private static TransferAmount withRequiredParts(Bucket sender, long minimumParts, long tokens) {
+        long parts = Math.min(sender.parts(), Math.max(minimumParts, sender.partsFor(tokens)));
+        return new TransferAmount(parts, Math.min(tokens, sender.capacityOf(parts)));
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/limit/Take.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/Take.java
@@ -1,25 +1,26 @@
 package org.quetzalshunt.core.limit;
 
-/** Answer to a request for one token. */
+/** Immediate result of a request for one token. */
 public sealed interface Take {
     /**
-     * The token is the request's.
+     * The request got a token.
      *
-     * @param moment names the token, should it be given back
+     * @param takeSequence sequence number of the take, by which the token can be returned
      */
-    record Taken(long moment) implements Take {}
+    record Taken(long takeSequence) implements Take {}
 
     /**
-     * Tokens are being fetched; the outcome follows by the callback, once, unless it is cancelled.
+     * The request waits while tokens are being fetched. The callback receives the outcome once, unless the wait is
+     * cancelled.
      *
-     * @param handle names the waiting request for {@link FleetLimits#cancel}
+     * @param handle identifies the waiting request for {@link FleetLimits#cancel}
      */
     record Waiting(long handle) implements Take {}
 
     /**
-     * No token in time.
+     * No token will be available in time.
      *
-     * @param retryAfterMillis when one may be there, in milliseconds
+     * @param retryAfterMillis when one may be available, in milliseconds
      */
     record Refused(long retryAfterMillis) implements Take {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/limit/TakeOutcome.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/TakeOutcome.java
@@ -1,18 +1,18 @@
 package org.quetzalshunt.core.limit;
 
-/** What became of a request that waited for a token. */
+/** Final outcome of a request that waited for a token. */
 public sealed interface TakeOutcome {
     /**
-     * The token came and is the request's.
+     * The request got a token.
      *
-     * @param moment names the token, should it be given back
+     * @param takeSequence sequence number of the take, by which the token can be returned
      */
-    record Taken(long moment) implements TakeOutcome {}
+    record Taken(long takeSequence) implements TakeOutcome {}
 
     /**
-     * No token came in time.
+     * No token became available in time.
      *
-     * @param retryAfterMillis when one may be there, in milliseconds
+     * @param retryAfterMillis when one may be available, in milliseconds
      */
     record Refused(long retryAfterMillis) implements TakeOutcome {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/limit/TokenFetcher.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/TokenFetcher.java
@@ -12,28 +12,43 @@
 import org.quetzalshunt.core.limit.LimitMessage.Request;
 import org.quetzalshunt.core.vm.VmId;
 
-/** Asks other entries for tokens before the ones at hand run out, and passes on what others ask of a home. */
+/**
+ * Requests tokens from other entries before the local ones run out, and at a home forwards the requests of other
+ * entries.
+ */
 final class TokenFetcher {
-    /** Tokens at hand for less than this much traffic are topped up: several times the way to a peer and back. */
-    private static final double LOW_SECONDS = 0.03;
-
-    /** Traffic for which tokens are asked at once. */
-    private static final double WANTED_SECONDS = 0.1;
-
-    /** First pause between two requests, a few times the way to the home, to a holder, and back. */
-    private static final long FIRST_INTERVAL_MILLIS = 10;
-
-    /** Requests that wait longer without a break mean an account over its rate; until then it asks at the first pause. */
-    private static final long PATIENCE_MILLIS = 400;
-
-    /** Longest pause, of an account over its rate: no longer than a request waits, or one entry starves beside others. */
-    private static final long LONGEST_INTERVAL_MILLIS = 200;
-
-    /** Holders that a home asks on behalf of one request; when the asker comes again in vain, it asks all it knows. */
-    private static final int PASSED_ON_TO = 3;
-
-    /** A second request within this time means that the first brought too little. */
-    private static final long AGAIN_MILLIS = 100;
+    /**
+     * Tokens are requested when those left cover less than this much traffic. It is several times the round trip to a
+     * peer.
+     */
+    private static final double REFILL_THRESHOLD_SECONDS = 0.03;
+
+    /** A request asks for the tokens of this much traffic. */
+    private static final double REQUESTED_SECONDS = 0.1;
+
+    /** Shortest interval between two requests, a few times the path to the home, to a holder, and back. */
+    private static final long MINIMUM_INTERVAL_MILLIS = 10;
+
+    /**
+     * Requests that wait without interruption for longer indicate an account over its rate. Until then the shortest
+     * interval applies.
+     */
+    private static final long OVER_RATE_MILLIS = 400;
+
+    /**
+     * Longest interval, for an account over its rate. It must not exceed the wait of a request, or one entry would
+     * starve beside others.
+     */
+    private static final long MAXIMUM_INTERVAL_MILLIS = 200;
+
+    /**
+     * Holders to which a home forwards one request. If the requester asks again soon, the home forwards to all known
+     * holders.
+     */
+    private static final int FORWARD_LIMIT = 3;
+
+    /** A second request within this time means that the first brought too few tokens. */
+    private static final long REPEATED_REQUEST_MILLIS = 100;
 
     private final VmId self;
     private final MessageBudget budget = new MessageBudget();
@@ -50,7 +65,7 @@
         generation = next;
     }
 
-    void onAlive(Set<VmId> live) {
+    void onLiveMembers(Set<VmId> live) {
         alive = live::contains;
     }
 
@@ -58,7 +73,7 @@
         return alive.test(vm);
     }
 
-    /** Asks for tokens if the bucket is short of them and it is time to ask. */
+    /** Requests tokens if the bucket is short of them and a request is due. */
     void fetch(long nowMillis, Bucket bucket) {
         if (bucket.waiting.isEmpty()) {
             bucket.shortSinceMillis = Long.MAX_VALUE;
@@ -69,14 +84,15 @@
             return;
         }
         double demand = bucket.demand.perSecond(nowMillis);
-        if (!isShort(bucket, demand) || nowMillis - bucket.askedMillis < bucket.askIntervalMillis) {
+        if (!isShort(bucket, demand) || nowMillis - bucket.requestedMillis < bucket.requestIntervalMillis) {
             return;
         }
-        boolean newlyShort = nowMillis - bucket.shortSinceMillis < PATIENCE_MILLIS;
-        bucket.askIntervalMillis =
-                newlyShort ? FIRST_INTERVAL_MILLIS : Math.min(LONGEST_INTERVAL_MILLIS, bucket.askIntervalMillis * 2);
-        bucket.askedMillis = nowMillis;
-        ask(nowMillis, bucket, demand);
+        boolean newlyShort = nowMillis - bucket.shortSinceMillis < OVER_RATE_MILLIS;
+        bucket.requestIntervalMillis = newlyShort
+                ? MINIMUM_INTERVAL_MILLIS
+                : Math.min(MAXIMUM_INTERVAL_MILLIS, bucket.requestIntervalMillis * 2);
+        bucket.requestedMillis = nowMillis;
+        sendRequest(nowMillis, bucket, demand);
     }
 
     private static boolean isShort(Bucket bucket, double demand) {
@@ -84,70 +100,80 @@
             return true;
         }
         boolean earnsEnough = bucket.rateMicroTokens() / (double) ALL_PARTS * bucket.parts() >= demand * MICRO_TOKENS;
-        double low = Math.min(demand * LOW_SECONDS * MICRO_TOKENS, bucket.burstMicroTokens() / 4.0);
-        return !earnsEnough && bucket.level() < low;
+        double threshold = Math.min(demand * REFILL_THRESHOLD_SECONDS * MICRO_TOKENS, bucket.burstMicroTokens() / 4.0);
+        return !earnsEnough && bucket.level() < threshold;
     }
 
-    /** Notes a request served here, whose share of the traffic may be spent on fetching. */
+    /** Records a request served here, which allows further messages for fetching. */
     void onServed(long nowMillis) {
         budget.onServed(nowMillis);
     }
 
-    private void ask(long nowMillis, Bucket bucket, double demand) {
-        long wanted = bucket.waiting.size() * MICRO_TOKENS + (long) (demand * WANTED_SECONDS * MICRO_TOKENS);
-        long bounded = Math.min(bucket.burstMicroTokens(), Math.max(MICRO_TOKENS, wanted)) - bucket.level();
-        if (bounded <= 0) {
+    private void sendRequest(long nowMillis, Bucket bucket, double demand) {
+        long wantedMicroTokens =
+                bucket.waiting.size() * MICRO_TOKENS + (long) (demand * REQUESTED_SECONDS * MICRO_TOKENS);
+        long requestedMicroTokens =
+                Math.min(bucket.burstMicroTokens(), Math.max(MICRO_TOKENS, wantedMicroTokens)) - bucket.level();
+        if (requestedMicroTokens <= 0) {
             return;
         }
         Request request = new Request(
-                generation.offset, bucket.key, self, bounded, bucket.parts(), (long) (demand * 1_000), false);
+                generation.offset,
+                bucket.key,
+                self,
+                requestedMicroTokens,
+                bucket.parts(),
+                (long) (demand * 1_000),
+                false);
         Optional<VmId> home = generation.home(bucket.key).filter(alive);
         if (home.filter(self::equals).isPresent()) {
-            passOn(nowMillis, bucket, request, 0);
+            forward(nowMillis, bucket, request, 0);
             return;
         }
         if (home.isPresent()) {
             sendWithinBudget(nowMillis, home.get(), request);
             return;
         }
-        askAnyone(nowMillis, bucket, request);
+        requestFromMembers(nowMillis, bucket, request);
     }
 
-    /** Without a live home, members are asked in turn: some of them hold the parts. */
-    private void askAnyone(long nowMillis, Bucket bucket, Request request) {
+    /** Without a live home, sends the request to members in rotation, since some of them hold the parts. */
+    private void requestFromMembers(long nowMillis, Bucket bucket, Request request) {
         List<VmId> live = new ArrayList<>(generation.record.members());
         live.removeIf(vm -> vm.equals(self) || !alive.test(vm));
-        sendInTurn(nowMillis, bucket, live, PASSED_ON_TO, asPassedOn(request, 0));
+        sendInRotation(nowMillis, bucket, live, FORWARD_LIMIT, forwarded(request, 0));
     }
 
-    /** Passes on to likely holders what the home could not give. */
-    void passOn(long nowMillis, Bucket bucket, Request request, long givenMicroTokens) {
-        // A home that holds nearly all parts and still cannot serve knows that the fleet is dry.
+    /** Forwards to likely holders a request that the home could not fully serve. */
+    void forward(long nowMillis, Bucket bucket, Request request, long givenMicroTokens) {
+        // If a home that holds nearly all parts cannot serve the request, no other entry can.
         boolean othersHoldLittle = bucket.parts() > ALL_PARTS * 15 / 16;
         if (request.wantedMicroTokens() <= givenMicroTokens || othersHoldLittle) {
             return;
         }
-        List<VmId> holders = bucket.holders.all();
+        List<VmId> holders = bucket.holderHints.all();
         holders.removeIf(vm -> vm.equals(request.asker()) || vm.equals(self) || !alive.test(vm));
-        boolean again = bucket.holders.askedWithin(nowMillis, AGAIN_MILLIS, request.asker());
-        int many = again ? holders.size() : PASSED_ON_TO;
-        sendInTurn(nowMillis, bucket, holders, many, asPassedOn(request, givenMicroTokens));
+        boolean isRepeated = bucket.holderHints.requestedWithin(nowMillis, REPEATED_REQUEST_MILLIS, request.asker());
+        int limit = isRepeated ? holders.size() : FORWARD_LIMIT;
+        sendInRotation(nowMillis, bucket, holders, limit, forwarded(request, givenMicroTokens));
     }
 
-    /** Sends to the last of the candidates, which asked most recently, and to the others in turn. */
-    private void sendInTurn(long nowMillis, Bucket bucket, List<VmId> candidates, int many, Request request) {
+    /**
+     * Sends to the last of the candidates, which requested tokens most recently, and to some of the others in rotation.
+     */
+    private void sendInRotation(long nowMillis, Bucket bucket, List<VmId> candidates, int limit, Request request) {
         if (candidates.isEmpty()) {
             return;
         }
         sendWithinBudget(nowMillis, candidates.remove(candidates.size() - 1), request);
-        for (int count = 1; count < many && !candidates.isEmpty(); count++) {
-            bucket.holdersCursor++;
-            int index = Math.floorMod(bucket.holdersCursor, candidates.size());
+        for (int count = 1; count < limit && !candidates.isEmpty(); count++) {
+            bucket.nextHolderIndex++;
+            int index = Math.floorMod(bucket.nextHolderIndex, candidates.size());
             sendWithinBudget(nowMillis, candidates.remove(index), request);
         }
     }
 
-    private static Request asPassedOn(Request request, long givenMicroTokens) {
+    private static Request forwarded(Request request, long givenMicroTokens) {
         return new Request(
                 request.generation(),
                 request.key(),
@@ -159,7 +185,7 @@
     }
 
     private void sendWithinBudget(long nowMillis, VmId to, Request request) {
-        if (budget.tryUse(nowMillis)) {
+        if (budget.tryAcquire(nowMillis)) {
             sender.accept(to, request);
         }
     }
--- a/core/src/main/java/org/quetzalshunt/core/limit/TransferLedger.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/TransferLedger.java
@@ -8,18 +8,21 @@
 import org.quetzalshunt.core.vm.VmId;
 
 /**
- * Transfers on their way, and those that came.
+ * Tracks transfers that were sent and not yet acknowledged, and those that were received.
  *
- * <p>Guards against a doubled and against a lost transfer. Doubled it would show as a window over its bound: the receiver
- * takes each number of a sender once, and forgets numbers only when the sender says that they are settled. Lost it would
- * show as refusals within the rate: the sender repeats it until it is acknowledged. The sender never takes a transfer
- * back, since the receiver may have used it and died before it could say so.
+ * <p>Guards against duplicated and lost transfers. A duplicate would admit more than rate and burst in some window: the
+ * receiver accepts each number of a sender once, and forgets numbers only when the sender reports that they are
+ * settled. A loss would cause refusals within the rate: the sender retransmits a transfer until it is acknowledged. The
+ * sender never cancels a transfer, since the receiver may have used it and died before it could acknowledge.
  */
 final class TransferLedger {
-    /** A peer within the region answers in a few milliseconds; a repeat after 100 is rare and cheap. */
-    private static final long REPEAT_MILLIS = 100;
+    /** A peer within the region answers in a few milliseconds, so a retransmission after 100 ms is rare and cheap. */
+    private static final long RETRANSMIT_MILLIS = 100;
 
-    /** An acknowledgement counts as a sign of life for this time, less than it takes to notice a lost connection. */
+    /**
+     * An acknowledgement counts as a sign of life for this time, which is less than the time to detect a lost
+     * connection.
+     */
     private static final long RESPONSIVE_MILLIS = 250;
 
     private final Map<VmId, Outbox> outboxes = new HashMap<>();
@@ -29,27 +32,27 @@
     /** Numbers a transfer and keeps it until it is acknowledged. */
     LimitMessage.Transfer send(long nowMillis, VmId to, long generation, AccountKey key, long parts, long tokens) {
         Outbox outbox = outboxes.computeIfAbsent(to, vm -> new Outbox());
-        long number = outbox.next++;
+        long number = outbox.nextNumber++;
         LimitMessage.Transfer transfer =
                 new LimitMessage.Transfer(generation, number, outbox.settledBelow, key, parts, tokens);
-        outbox.unsettled.put(number, new Sent(transfer, nowMillis));
+        outbox.unacknowledged.put(number, new Sent(transfer, nowMillis));
         pending++;
         return transfer;
     }
 
-    void acknowledged(long nowMillis, VmId by, long number) {
+    void onAcknowledgement(long nowMillis, VmId by, long number) {
         Outbox outbox = outboxes.get(by);
-        if (outbox == null || outbox.unsettled.remove(number) == null) {
+        if (outbox == null || outbox.unacknowledged.remove(number) == null) {
             return;
         }
         pending--;
         outbox.acknowledgedMillis = nowMillis;
-        while (outbox.settledBelow < outbox.next && !outbox.unsettled.containsKey(outbox.settledBelow)) {
+        while (outbox.settledBelow < outbox.nextNumber && !outbox.unacknowledged.containsKey(outbox.settledBelow)) {
             outbox.settledBelow++;
         }
     }
 
-    /** Whether a peer acknowledged a transfer of late, so that it surely lives. */
+    /** Whether a peer acknowledged a transfer recently, so that it is very likely alive. */
     boolean isResponsive(long nowMillis, VmId peer) {
         Outbox outbox = outboxes.get(peer);
         return outbox != null && nowMillis - outbox.acknowledgedMillis <= RESPONSIVE_MILLIS;
@@ -58,25 +61,25 @@
     /** Whether transfers to a peer are not acknowledged yet. */
     boolean isPending(VmId peer) {
         Outbox outbox = outboxes.get(peer);
-        return outbox != null && !outbox.unsettled.isEmpty();
+        return outbox != null && !outbox.unacknowledged.isEmpty();
     }
 
-    /** Whether a transfer comes for the first time. */
+    /** Records a transfer. Returns false if it is a duplicate. */
     boolean receive(VmId from, LimitMessage.Transfer transfer) {
         Inbox inbox = inboxes.computeIfAbsent(from, vm -> new Inbox());
         if (transfer.settledBelow() > inbox.settledBelow) {
-            inbox.settle(transfer.settledBelow());
+            inbox.forgetBelow(transfer.settledBelow());
         }
-        return transfer.transfer() >= inbox.settledBelow && inbox.seen.add(transfer.transfer());
+        return transfer.transfer() >= inbox.settledBelow && inbox.received.add(transfer.transfer());
     }
 
-    /** Hands over the transfers that are due to be sent again. */
-    void repeat(long nowMillis, BiConsumer<VmId, LimitMessage.Transfer> sender) {
+    /** Passes on the transfers that are due for retransmission. */
+    void retransmit(long nowMillis, BiConsumer<VmId, LimitMessage.Transfer> sender) {
         if (pending == 0) {
             return;
         }
-        outboxes.forEach((vm, outbox) -> outbox.unsettled.values().forEach(sent -> {
-            if (nowMillis - sent.sentMillis >= REPEAT_MILLIS) {
+        outboxes.forEach((vm, outbox) -> outbox.unacknowledged.values().forEach(sent -> {
+            if (nowMillis - sent.sentMillis >= RETRANSMIT_MILLIS) {
                 sent.sentMillis = nowMillis;
                 sender.accept(vm, sent.transfer);
             }
@@ -89,13 +92,13 @@
 
     long pendingParts(AccountKey key) {
         return outboxes.values().stream()
-                .flatMap(outbox -> outbox.unsettled.values().stream())
+                .flatMap(outbox -> outbox.unacknowledged.values().stream())
                 .filter(sent -> sent.transfer.key().equals(key))
                 .mapToLong(sent -> sent.transfer.parts())
                 .sum();
     }
 
-    /** Starts again with a new generation, in which nothing of the former one counts. */
+    /** Discards all transfers when a new generation starts, in which those of the former one are void. */
     void clear() {
         outboxes.clear();
         inboxes.clear();
@@ -103,8 +106,8 @@
     }
 
     private static final class Outbox {
-        final Long2ObjectHashMap<Sent> unsettled = new Long2ObjectHashMap<>();
-        long next = 1;
+        final Long2ObjectHashMap<Sent> unacknowledged = new Long2ObjectHashMap<>();
+        long nextNumber = 1;
         long settledBelow = 1;
         long acknowledgedMillis = Long.MIN_VALUE / 2;
     }
@@ -120,12 +123,12 @@
     }
 
     private static final class Inbox {
-        final LongHashSet seen = new LongHashSet();
+        final LongHashSet received = new LongHashSet();
         long settledBelow = 1;
 
-        void settle(long below) {
+        void forgetBelow(long below) {
             for (long number = settledBelow; number < below; number++) {
-                seen.remove(number);
+                received.remove(number);
             }
             settledBelow = below;
         }
--- a/core/src/main/java/org/quetzalshunt/core/limit/Waiter.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/Waiter.java
@@ -5,8 +5,8 @@
 /**
  * A request that waits for a token.
  *
- * @param handle name of the wait
- * @param deadlineMillis when it is refused
- * @param later hears the outcome
+ * @param handle identifies the wait for {@link FleetLimits#cancel}
+ * @param deadlineMillis time at which it is refused
+ * @param callback receives the outcome
  */
-record Waiter(long handle, long deadlineMillis, Consumer<TakeOutcome> later) {}
+record Waiter(long handle, long deadlineMillis, Consumer<TakeOutcome> callback) {}
--- a/core/src/test/java/org/quetzalshunt/core/limit/TestFleet.java
+++ b/core/src/test/java/org/quetzalshunt/core/limit/TestFleet.java
@@ -13,14 +13,17 @@
 import org.quetzalshunt.core.vm.VmId;
 import org.quetzalshunt.core.vm.VmRole;
 
-/** Several real FleetLimits over a fake network, a fake log and a virtual clock. Every VM's own clock is off by days. */
+/**
+ * Simulates several entries with real {@link FleetLimits} over a fake network, a fake log and a virtual clock. The
+ * clocks of the VMs differ by days.
+ */
 final class TestFleet {
     static final String SERVICE = "tutor";
     static final String ACCOUNT = "school";
-    private static final long READ_EVERY_MILLIS = 100;
-    private static final long HEARD_EVERY_MILLIS = 100;
-    private static final long SILENCE_MILLIS = 2_000;
-    /** A crash closes connections, so that peers know of it sooner than of a silence. */
+    private static final long LOG_READ_MILLIS = 100;
+    private static final long MEMBERSHIP_UPDATE_MILLIS = 100;
+    private static final long MEMBER_TIMEOUT_MILLIS = 2_000;
+    /** A crash closes connections, so peers detect it sooner than a VM that stops responding. */
     private static final long LOST_CONNECTION_MILLIS = 600;
 
     final SplittableRandom random;
@@ -30,14 +33,14 @@
     final List<LimitGenerationRecord> log = new ArrayList<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     LimitSettings settings = LimitSettings.defaults();
-    /** What the network makes of a message: the copies that arrive. Mutations and scripted losses go here. */
+    /** Maps a sent message to the copies that arrive. Tests replace it to drop, duplicate or change messages. */
     Function<LimitMessage, List<LimitMessage>> network = List::of;
 
-    double loss;
-    double duplication;
-    double lateness;
-    /** Share of taken tokens that are given back within three seconds. */
-    double giveBackShare;
+    double lossProbability;
+    double duplicationProbability;
+    double delayProbability;
+    /** Fraction of the taken tokens that are returned within three seconds. */
+    double giveBackProbability;
 
     boolean logDown;
     long now;
@@ -58,7 +61,7 @@
         }
     }
 
-    /** A fleet that is up, with the account's bucket full. */
+    /** Creates a fleet that has started, with the account's bucket full. */
     static TestFleet started(long seed, int size, long rate, long burst) {
         TestFleet fleet = new TestFleet(seed, size, rate, burst);
         fleet.run(3_000);
@@ -76,7 +79,7 @@
         events.add(new Event(millis, sequence++, action));
     }
 
-    /** Lets virtual time pass. */
+    /** Advances the virtual time. */
     void run(long millis) {
         long end = now + millis;
         while (!events.isEmpty() && events.peek().millis() <= end) {
@@ -87,7 +90,7 @@
         now = end;
     }
 
-    /** Requests at an even pace, each at the entry that the function names for its time. */
+    /** Sends requests at an even rate, each to the entry that the function returns for its time. */
     void traffic(long millis, double perSecond, Function<Long, Node> entry) {
         long end = now + millis;
         double interval = 1_000 / perSecond;
@@ -102,35 +105,35 @@
         rate = newRate;
         burst = newBurst;
         version++;
-        noteLimits();
-        nodes.forEach(node -> at(now + random.nextLong(300), () -> node.whenUp(node::readDocument)));
+        recordLimits();
+        nodes.forEach(node -> at(now + random.nextLong(300), () -> node.runWhenUp(node::readDocument)));
     }
 
-    /** While a document spreads, old and new limits are in force somewhere: the check takes the largest. */
-    private void noteLimits() {
+    /** While a document spreads, old and new limits are in force at some entries, so the check uses the largest. */
+    private void recordLimits() {
         long largestRate =
                 nodes.stream().mapToLong(node -> node.rateInForce).max().orElse(rate);
         long largestBurst =
                 nodes.stream().mapToLong(node -> node.burstInForce).max().orElse(burst);
-        windows.limit(now, largestRate, largestBurst);
+        windows.setLimits(now, largestRate, largestBurst);
     }
 
-    /** Restarts one VM with settings of its own. */
-    void restartWith(int index, LimitSettings others) {
-        LimitSettings usual = settings;
-        settings = others;
+    /** Restarts one VM with different settings. */
+    void restartWith(int index, LimitSettings changed) {
+        LimitSettings previous = settings;
+        settings = changed;
         node(index).restart();
-        settings = usual;
+        settings = previous;
     }
 
-    void cut(Node one, Node other) {
+    void cutLink(Node one, Node other) {
         cutLinks.add(one.id.name() + other.id.name());
         cutLinks.add(other.id.name() + one.id.name());
     }
 
-    void cutOff(Node node) {
+    void isolate(Node node) {
         node.cutFromLog = true;
-        nodes.forEach(other -> cut(node, other));
+        nodes.forEach(other -> cutLink(node, other));
     }
 
     void heal() {
@@ -139,15 +142,17 @@
         logDown = false;
     }
 
-    long brokenPromises() {
-        return nodes.stream().mapToLong(node -> node.limits.brokenPromises()).sum();
+    long invariantViolations() {
+        return nodes.stream()
+                .mapToLong(node -> node.limits.invariantViolations())
+                .sum();
     }
 
     long rate() {
         return rate;
     }
 
-    double refusedShare() {
+    double refusedFraction() {
         return refused / (double) offered;
     }
 
@@ -158,22 +163,25 @@
         boolean cutFromLog;
         boolean crashed;
         long pausedUntil;
-        /** Set by a mutation: the clock stands still during a pause, as no real monotonic clock may. */
+        /**
+         * Set by a test that breaks a safety mechanism: the clock stops during a pause, which a real monotonic clock
+         * must not do.
+         */
         boolean clockStopsInPause;
 
         private final long clockOffset = random.nextLong(1_000_000_000L);
-        private long clockLost;
+        private long clockLostMillis;
         private int logNext;
         private long rateInForce;
         private long burstInForce;
-        private final List<Runnable> heldBack = new ArrayList<>();
-        private final List<Long> lastHeard = new ArrayList<>();
+        private final List<Runnable> delayedActions = new ArrayList<>();
+        private final List<Long> lastSeenMillis = new ArrayList<>();
 
         Node(String name, long incarnation) {
             start(name, incarnation);
             every(5, () -> limits.tick(local()));
-            every(READ_EVERY_MILLIS, this::read);
-            every(HEARD_EVERY_MILLIS, this::hear);
+            every(LOG_READ_MILLIS, this::read);
+            every(MEMBERSHIP_UPDATE_MILLIS, this::updateMembership);
         }
 
         private void start(String name, long incarnation) {
@@ -186,12 +194,12 @@
         private void readDocument() {
             rateInForce = rate;
             burstInForce = burst;
-            noteLimits();
+            recordLimits();
             limits.documentChanged(local(), SERVICE, ACCOUNT, (double) rate, (double) burst, version);
         }
 
         long local() {
-            return now + clockOffset - clockLost;
+            return now + clockOffset - clockLostMillis;
         }
 
         private void every(long period, Runnable action) {
@@ -212,13 +220,13 @@
             });
         }
 
-        /** Runs now, or when a pause ends; a crash forgets it. */
-        private void whenUp(Runnable action) {
+        /** Runs the action now or when a pause ends. A crash discards it. */
+        private void runWhenUp(Runnable action) {
             if (crashed) {
                 return;
             }
             if (now < pausedUntil) {
-                heldBack.add(action);
+                delayedActions.add(action);
                 return;
             }
             action.run();
@@ -228,21 +236,21 @@
             pausedUntil = now + millis;
             at(pausedUntil, () -> {
                 if (clockStopsInPause) {
-                    clockLost += millis;
+                    clockLostMillis += millis;
                 }
-                List<Runnable> due = List.copyOf(heldBack);
-                heldBack.clear();
-                // Requests come before anything else: the hardest order for a VM that should have stopped.
+                List<Runnable> due = List.copyOf(delayedActions);
+                delayedActions.clear();
+                // Requests run before the delayed actions, the worst case for a VM that must no longer use its parts.
                 for (int count = 0; count < burst; count++) {
                     request();
                 }
-                due.forEach(this::whenUp);
+                due.forEach(this::runWhenUp);
             });
         }
 
         void crash() {
             crashed = true;
-            heldBack.clear();
+            delayedActions.clear();
         }
 
         void restart() {
@@ -267,8 +275,8 @@
             });
             if (take instanceof Take.Taken token) {
                 windows.admitted(taken);
-                if (random.nextDouble() < giveBackShare) {
-                    giveBackLater(taken, token.moment(), limits);
+                if (random.nextDouble() < giveBackProbability) {
+                    giveBackLater(taken, token.takeSequence(), limits);
                 }
             } else if (take instanceof Take.Refused) {
                 refused++;
@@ -277,12 +285,12 @@
             }
         }
 
-        private void giveBackLater(long taken, long moment, FleetLimits holder) {
+        private void giveBackLater(long taken, long takeSequence, FleetLimits holder) {
             at(
                     now + random.nextLong(3_000),
-                    () -> whenUp(() -> {
+                    () -> runWhenUp(() -> {
                         if (limits == holder) {
-                            limits.giveBack(SERVICE, ACCOUNT, moment);
+                            limits.giveBack(SERVICE, ACCOUNT, takeSequence);
                             windows.givenBack(taken);
                         }
                     }));
@@ -294,7 +302,7 @@
             nodes.stream().filter(node -> node.id.name().equals(to)).forEach(receiver -> {
                 for (LimitMessage copy : network.apply(message)) {
                     deliver(sender, receiver, copy);
-                    if (random.nextDouble() < duplication) {
+                    if (random.nextDouble() < duplicationProbability) {
                         deliver(sender, receiver, copy);
                     }
                 }
@@ -303,15 +311,15 @@
 
         private void deliver(VmId sender, Node receiver, LimitMessage message) {
             boolean isCut = cutLinks.contains(sender.name() + receiver.id.name());
-            if (isCut || random.nextDouble() < loss) {
+            if (isCut || random.nextDouble() < lossProbability) {
                 return;
             }
-            long late = random.nextDouble() < lateness ? random.nextLong(8_000) : 0;
+            long delayMillis = random.nextDouble() < delayProbability ? random.nextLong(8_000) : 0;
             VmId addressee = receiver.id;
             at(
-                    now + 1 + random.nextLong(2) + late,
-                    () -> receiver.whenUp(() -> {
-                        // A message to a former incarnation arrived on a connection that is gone.
+                    now + 1 + random.nextLong(2) + delayMillis,
+                    () -> receiver.runWhenUp(() -> {
+                        // A message to a former incarnation was sent on a connection that is closed.
                         if (receiver.id.equals(addressee)) {
                             receiver.limits.onMessage(receiver.local(), sender, message);
                         }
@@ -333,7 +341,7 @@
             int end = log.size();
             at(
                     now + 1 + random.nextLong(3),
-                    () -> whenUp(() -> {
+                    () -> runWhenUp(() -> {
                         if (limits != reader) {
                             return;
                         }
@@ -345,20 +353,20 @@
                     }));
         }
 
-        private void hear() {
-            while (lastHeard.size() < nodes.size()) {
-                lastHeard.add(Long.MIN_VALUE / 2);
+        private void updateMembership() {
+            while (lastSeenMillis.size() < nodes.size()) {
+                lastSeenMillis.add(Long.MIN_VALUE / 2);
             }
             List<Member> members = new ArrayList<>();
             for (int index = 0; index < nodes.size(); index++) {
                 Node other = nodes.get(index);
-                boolean silent = other.crashed || now < other.pausedUntil;
-                boolean heard = !silent && !cutLinks.contains(id.name() + other.id.name());
-                if (heard || other == this) {
-                    lastHeard.set(index, now);
+                boolean unresponsive = other.crashed || now < other.pausedUntil;
+                boolean reachable = !unresponsive && !cutLinks.contains(id.name() + other.id.name());
+                if (reachable || other == this) {
+                    lastSeenMillis.set(index, now);
                 }
-                long patience = other.crashed ? LOST_CONNECTION_MILLIS : SILENCE_MILLIS;
-                boolean alive = now - lastHeard.get(index) < patience;
+                long timeoutMillis = other.crashed ? LOST_CONNECTION_MILLIS : MEMBER_TIMEOUT_MILLIS;
+                boolean alive = now - lastSeenMillis.get(index) < timeoutMillis;
                 members.add(member(other, alive));
             }
             limits.membersChanged(local(), members);
--- a/core/src/test/java/org/quetzalshunt/core/limit/WindowCheck.java
+++ b/core/src/test/java/org/quetzalshunt/core/limit/WindowCheck.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * Checks every window at once: admissions stay within rate × t + burst in all windows exactly when a token bucket of
- * that rate and burst, full at the start, never runs below zero under them.
+ * Checks all time windows at once. Admissions stay within rate × t + burst in every window exactly if a token bucket of
+ * that rate and burst, full at the start, never falls below zero.
  */
 final class WindowCheck {
     private final List<long[]> changes = new ArrayList<>();
     private final List<Long> admissions = new ArrayList<>();
 
-    /** Notes the limits in force from a time on; while a change spreads, the larger of both. */
-    void limit(long millis, long requestsPerSecond, long burst) {
+    /** Records the limits in force from a time on; while a change spreads, the larger of both. */
+    void setLimits(long millis, long requestsPerSecond, long burst) {
         changes.add(new long[] {millis, requestsPerSecond, burst});
     }
 
@@ -28,24 +28,24 @@
         return admissions.size();
     }
 
-    /** Most tokens by which any window went over its bound, in thousandths; 0 when the promise held. */
+    /** Largest number of tokens by which a window exceeded its bound, in thousandths; 0 if the invariant held. */
     long overshootMilliTokens() {
         long level = changes.get(0)[2] * 1_000;
-        long worst = 0;
+        long largest = 0;
         long last = changes.get(0)[0];
         int change = 0;
         for (long millis : admissions.stream().sorted().toList()) {
             while (change + 1 < changes.size() && changes.get(change + 1)[0] <= millis) {
-                long[] now = changes.get(change);
-                level = Math.min(now[2] * 1_000, level + (changes.get(change + 1)[0] - last) * now[1]);
+                long[] limits = changes.get(change);
+                level = Math.min(limits[2] * 1_000, level + (changes.get(change + 1)[0] - last) * limits[1]);
                 change++;
                 last = changes.get(change)[0];
             }
-            long[] now = changes.get(change);
-            level = Math.min(now[2] * 1_000, level + (millis - last) * now[1]) - 1_000;
+            long[] limits = changes.get(change);
+            level = Math.min(limits[2] * 1_000, level + (millis - last) * limits[1]) - 1_000;
             last = millis;
-            worst = Math.max(worst, -level);
+            largest = Math.max(largest, -level);
         }
-        return worst;
+        return largest;
     }
 }
