--- a/core/src/main/java/org/quetzalshunt/core/membership/GossipSchedule.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/GossipSchedule.java
@@ -9,10 +9,15 @@
 import org.quetzalshunt.core.vm.VmId;
 import org.quetzalshunt.core.vm.VmRole;
 
-/** To whom heartbeats go each round, and which words about others ride on them. */
+/**
+ * Selects the targets of the heartbeats in each round, and the heartbeats of other VMs that are forwarded with them.
+ */
 final class GossipSchedule {
-    /** A word that was passed on this often has reached everybody, but for a chance below one in a thousand. */
-    private static final int ENOUGH_TIMES_PASSED_ON = 12;
+    /**
+     * A heartbeat that was forwarded this often has reached every VM, except with a probability below one in a
+     * thousand.
+     */
+    private static final int MAXIMUM_TIMES_FORWARDED = 12;
 
     private final MembershipSettings settings;
     private final SplittableRandom random;
@@ -31,16 +36,16 @@
         if (nowMillis < nextRoundMillis) {
             return List.of();
         }
-        nextRoundMillis = nowMillis + settings.heartbeatMillis();
+        nextRoundMillis = nowMillis + settings.heartbeatIntervalMillis();
         List<Peer> others = new ArrayList<>(entries);
         others.removeIf(peer -> peer.vm.name().equals(self.name()));
         shuffle(others);
         if (self.role() == VmRole.SIDECAR) {
             others.sort(Comparator.comparing(peer -> !peer.vm.dataCentre().equals(self.dataCentre())));
         }
-        // Silent peers go last, so that dead VMs in a lagging list do not eat the fan-out; they still get their turn
-        // while there is room, which is how a peer that was cut off is found again in a small fleet. In a large one it
-        // finds us.
+        // Peers that are not alive come last, so that dead VMs of a lagging list do not use up the fan-out. In a small
+        // fleet there is room for them, so a peer that was disconnected is contacted again. In a large fleet, that peer
+        // contacts this VM.
         others.sort(Comparator.comparing(peer -> !peer.alive));
         return others.stream()
                 .limit(settings.fanOut())
@@ -49,17 +54,17 @@
     }
 
     List<HeartbeatNews> digest(String target, Peer own, List<Peer> entries) {
-        List<Peer> fresh = new ArrayList<>(entries);
-        fresh.removeIf(peer -> peer == own
+        List<Peer> candidates = new ArrayList<>(entries);
+        candidates.removeIf(peer -> peer == own
                 || !peer.alive
-                || peer.beat == 0
-                || peer.timesPassedOn >= ENOUGH_TIMES_PASSED_ON
+                || peer.sequence == 0
+                || peer.timesForwarded >= MAXIMUM_TIMES_FORWARDED
                 || peer.vm.name().equals(target));
-        shuffle(fresh);
-        fresh.sort(Comparator.comparingInt(peer -> peer.timesPassedOn));
+        shuffle(candidates);
+        candidates.sort(Comparator.comparingInt(peer -> peer.timesForwarded));
         List<HeartbeatNews> news = new ArrayList<>();
-        for (Peer peer : fresh.subList(0, Math.min(settings.digestEntries(), fresh.size()))) {
-            peer.timesPassedOn++;
+        for (Peer peer : candidates.subList(0, Math.min(settings.digestEntries(), candidates.size()))) {
+            peer.timesForwarded++;
             news.add(peer.toNews());
         }
         return news;
--- a/core/src/main/java/org/quetzalshunt/core/membership/HeartbeatNews.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/HeartbeatNews.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * One VM's word about itself, straight from it or passed on by another VM.
+ * The state that one VM announces in its heartbeat, received directly or forwarded by another VM.
  *
- * @param vm name of the VM that the word is about
- * @param incarnation its incarnation
- * @param beat count of its heartbeats, by which a reader tells newer word from older; 0 for word that came straight
- * @param configurationNext offset of the first configuration record that it has not read
- * @param configurationAgeMillis time since it last read the configuration stream to its end
- * @param leaving whether it is stopping
- * @param ownedShards shards that it owns
+ * @param vm name of the VM that the heartbeat describes
+ * @param incarnation incarnation of that VM
+ * @param beat sequence number of the heartbeat, by which newer ones are told from older ones; 0 for a heartbeat without
+ *     one, which always counts as new and is not forwarded
+ * @param configurationNext offset of the first configuration record that the VM has not read
+ * @param configurationAgeMillis time since the VM last read the configuration stream to its end
+ * @param leaving whether the VM is shutting down
+ * @param ownedShards shards that the VM owns
  */
 public record HeartbeatNews(
         String vm,
@@ -22,7 +23,7 @@
         boolean leaving,
         List<Integer> ownedShards) {
 
-    /** Word that came straight from the VM, over its own connection. */
+    /** Creates the state of a heartbeat without a sequence number, received directly from the VM. */
     public static HeartbeatNews of(
             String vm,
             long incarnation,
--- a/core/src/main/java/org/quetzalshunt/core/membership/Member.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/Member.java
@@ -5,16 +5,16 @@
 import org.quetzalshunt.core.vm.VmId;
 
 /**
- * What one VM knows of an entry VM.
+ * The state of an entry VM as seen by this VM.
  *
- * @param id name and newest incarnation heard of; incarnation 0 while only the platform's list names it
- * @param vm its line in the platform's list
- * @param alive whether it was heard, straight or through others, within the time limit
- * @param leaving whether it, or the list, says that it stops
- * @param lastHeardMillis local time of the last word, by the reader's clock
+ * @param id name and newest known incarnation; incarnation 0 while the VM is only known from the platform's list
+ * @param vm its entry in the platform's list
+ * @param alive whether a heartbeat of it was received, directly or forwarded, within the timeout
+ * @param leaving whether the VM itself or the platform's list announced its shutdown
+ * @param lastHeardMillis when its last heartbeat was received, by this VM's clock
  * @param configurationNext offset of the first configuration record that it has not read
- * @param configurationAgeMillis how long before that word it last read the configuration stream to its end
- * @param ownedShards shards that it says it owns
+ * @param configurationAgeMillis how long before that heartbeat it last read the configuration stream to its end
+ * @param ownedShards shards that it announced to own
  */
 public record Member(
         VmId id,
--- a/core/src/main/java/org/quetzalshunt/core/membership/Membership.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/Membership.java
@@ -12,9 +12,10 @@
 import org.quetzalshunt.core.vm.VmRole;
 
 /**
- * Who is there: the lagging VM list, heartbeats that ride on traffic, a leaving VM's own word first.
+ * One VM's view of the members of the fleet. It combines the platform's VM list, which lags, with heartbeats that are
+ * sent and forwarded between the VMs. A VM's own announcement that it is leaving takes precedence over both.
  *
- * <p>Times are milliseconds of the caller's monotonic clock. Not safe for use by several threads.
+ * <p>Times are milliseconds of the caller's monotonic clock. Not thread-safe.
  */
 public final class Membership {
     private final VmId self;
@@ -30,17 +31,17 @@
         this.own = new Peer(selfVm);
         this.schedule = GossipSchedule.create(self, settings);
         own.incarnation = self.incarnation();
-        own.heard = true;
+        own.heartbeatReceived = true;
         own.alive = true;
         peers.put(self.name(), own);
     }
 
-    /** A view that knows only its own VM, until the list or a heartbeat names others. */
+    /** Creates a view that contains only this VM, until the list names others. */
     public static Membership create(VmId self, Vm selfVm, MembershipSettings settings) {
         return new Membership(self, selfVm, settings);
     }
 
-    /** Takes in the platform's list. A VM that is no longer listed is forgotten; this VM itself never is. */
+    /** Updates the view from the platform's list. VMs that are no longer listed are removed, except this VM itself. */
     public void onVmList(long nowMillis, List<Vm> vms) {
         boolean changed = peers.values()
                 .removeIf(peer ->
@@ -48,14 +49,14 @@
         for (Vm vm : vms) {
             changed |= onListedVm(nowMillis, vm);
         }
-        refreshAlive(nowMillis, changed);
+        updateLiveness(nowMillis, changed);
     }
 
     private boolean onListedVm(long nowMillis, Vm vm) {
         Peer peer = peers.get(vm.name());
         if (peer == null) {
             Peer added = new Peer(vm);
-            added.lastHeardMillis = nowMillis;
+            added.lastHeartbeatMillis = nowMillis;
             peers.put(vm.name(), added);
             return true;
         }
@@ -65,54 +66,56 @@
     }
 
     /**
-     * Takes in a VM's word that came over its own connection. Word of a former incarnation, or older than what is known,
-     * changes nothing.
+     * Handles a heartbeat that came over the VM's own connection. A heartbeat of a former incarnation, or an outdated
+     * one, changes nothing.
      */
     public void onHeartbeat(long nowMillis, HeartbeatNews news) {
         Peer peer = peers.get(news.vm());
         if (peer != null && news.incarnation() >= peer.incarnation) {
             peer.connectionLostMillis = Long.MIN_VALUE;
         }
-        onPassedOn(nowMillis, news);
+        applyHeartbeat(nowMillis, news);
     }
 
-    /** Takes in words that another VM passed on, the digest of its heartbeat. */
+    /** Handles the heartbeats of other VMs that were forwarded with a heartbeat. */
     public void onDigest(long nowMillis, List<HeartbeatNews> digest) {
-        digest.forEach(news -> onPassedOn(nowMillis, news));
+        digest.forEach(news -> applyHeartbeat(nowMillis, news));
     }
 
-    private void onPassedOn(long nowMillis, HeartbeatNews news) {
+    private void applyHeartbeat(long nowMillis, HeartbeatNews news) {
         Peer peer = peers.get(news.vm());
-        if (peer == null || peer == own || !onIncarnation(nowMillis, VmId.of(news.vm(), news.incarnation()))) {
+        if (peer == null || peer == own || !acceptIncarnation(nowMillis, VmId.of(news.vm(), news.incarnation()))) {
             return;
         }
-        boolean passedOnAndOld = news.beat() > 0 && news.beat() <= peer.beat;
-        if (passedOnAndOld) {
+        boolean isOutdated = news.beat() > 0 && news.beat() <= peer.sequence;
+        if (isOutdated) {
             return;
         }
-        boolean changed =
-                !peer.heard || peer.ownWordLeaving != news.leaving() || !peer.ownedShards.equals(news.ownedShards());
-        peer.beat = Math.max(peer.beat, news.beat());
-        peer.heard = true;
-        peer.lastHeardMillis = nowMillis;
-        // A VM that said once that it leaves does not come back in the same incarnation: a late copy of an older word
-        // would send new work to a VM that stops.
-        peer.ownWordLeaving |= news.leaving();
+        boolean changed = !peer.heartbeatReceived
+                || peer.announcedLeaving != news.leaving()
+                || !peer.ownedShards.equals(news.ownedShards());
+        peer.sequence = Math.max(peer.sequence, news.beat());
+        peer.heartbeatReceived = true;
+        peer.lastHeartbeatMillis = nowMillis;
+        // A VM that announced its shutdown never revokes it in the same incarnation. Otherwise, a late copy of an older
+        // heartbeat would direct new work to a VM that is shutting down.
+        peer.announcedLeaving |= news.leaving();
         peer.configurationNext = Math.max(peer.configurationNext, news.configurationNext());
         peer.configurationAgeMillis = news.configurationAgeMillis();
         peer.ownedShards = List.copyOf(news.ownedShards());
-        peer.timesPassedOn = 0;
-        refreshAlive(nowMillis, changed);
+        peer.timesForwarded = 0;
+        updateLiveness(nowMillis, changed);
     }
 
     /**
-     * Whether a message from this incarnation counts. A newer incarnation than any heard of replaces the former one.
+     * Returns whether messages of this incarnation are valid. A newer incarnation than the newest known one replaces
+     * it.
      *
-     * <p>Guards against a VM replaced at the same address: late messages of its former process would otherwise be
-     * taken for the new one's. They show as an incarnation below the newest; incarnations only rise, so a lower one is
-     * from a process that has been replaced.
+     * <p>Guards against a VM that was replaced at the same address: late messages of its former process would otherwise
+     * be attributed to the new one. Incarnations only increase, so an incarnation below the newest one belongs to a
+     * process that has been replaced.
      */
-    public boolean onIncarnation(long nowMillis, VmId id) {
+    public boolean acceptIncarnation(long nowMillis, VmId id) {
         if (id.name().equals(self.name())) {
             return id.incarnation() == self.incarnation();
         }
@@ -125,14 +128,17 @@
         }
         if (id.incarnation() > peer.incarnation) {
             peer.restart(id.incarnation());
-            peer.lastHeardMillis = nowMillis;
-            peer.heard = true;
-            refreshAlive(nowMillis, true);
+            peer.lastHeartbeatMillis = nowMillis;
+            peer.heartbeatReceived = true;
+            updateLiveness(nowMillis, true);
         }
         return true;
     }
 
-    /** Notes a lost connection: unless the VM is heard again soon, it counts as not alive early. */
+    /**
+     * Records a lost connection. Unless a heartbeat of the VM follows soon, the VM counts as dead before its usual
+     * timeout.
+     */
     public void onConnectionLost(long nowMillis, VmId id) {
         Peer peer = peers.get(id.name());
         if (peer == null || peer == own || id.incarnation() < peer.incarnation) {
@@ -141,27 +147,27 @@
         peer.connectionLostMillis = nowMillis;
     }
 
-    /** Says what this VM tells others about itself from now on. */
+    /** Sets the state that this VM announces in its heartbeats from now on. */
     public void describeSelf(
             long configurationNext, long configurationAgeMillis, boolean leaving, List<Integer> ownedShards) {
-        boolean changed = own.ownWordLeaving != leaving || !own.ownedShards.equals(ownedShards);
+        boolean changed = own.announcedLeaving != leaving || !own.ownedShards.equals(ownedShards);
         own.configurationNext = configurationNext;
         own.configurationAgeMillis = configurationAgeMillis;
-        own.ownWordLeaving |= leaving;
+        own.announcedLeaving |= leaving;
         own.ownedShards = List.copyOf(ownedShards);
         if (changed) {
             listeners.forEach(Runnable::run);
         }
     }
 
-    /** Finds VMs that have fallen silent. */
+    /** Detects VMs whose heartbeats have timed out. */
     public void tick(long nowMillis) {
-        refreshAlive(nowMillis, false);
+        updateLiveness(nowMillis, false);
     }
 
-    private void refreshAlive(long nowMillis, boolean alreadyChanged) {
+    private void updateLiveness(long nowMillis, boolean alreadyChanged) {
         boolean changed = alreadyChanged;
-        own.lastHeardMillis = nowMillis;
+        own.lastHeartbeatMillis = nowMillis;
         for (Peer peer : peers.values()) {
             boolean alive = peer == own || isAlive(nowMillis, peer);
             changed |= alive != peer.alive;
@@ -173,28 +179,30 @@
     }
 
     private boolean isAlive(long nowMillis, Peer peer) {
-        if (!peer.heard) {
+        if (!peer.heartbeatReceived) {
             return false;
         }
-        return !isLost(nowMillis, peer) && nowMillis - peer.lastHeardMillis < settings.silenceMillis(peers.size());
+        return !isDisconnected(nowMillis, peer)
+                && nowMillis - peer.lastHeartbeatMillis < settings.timeoutMillis(peers.size());
     }
 
     /**
-     * Whether the connection was lost a while ago and no word came since. Word that comes within one round of the loss
-     * may be from before it, passed on by others, so it does not count as a sign of life.
+     * Whether the timeout after a lost connection has passed and no heartbeat followed the loss. A heartbeat that
+     * arrives within one round of the loss may have been sent before it and forwarded by other VMs, so it does not
+     * count.
      */
-    private boolean isLost(long nowMillis, Peer peer) {
+    private boolean isDisconnected(long nowMillis, Peer peer) {
         return peer.connectionLostMillis != Long.MIN_VALUE
-                && nowMillis - peer.connectionLostMillis >= settings.lostConnectionMillis()
-                && peer.lastHeardMillis - peer.connectionLostMillis < settings.heartbeatMillis();
+                && nowMillis - peer.connectionLostMillis >= settings.lostConnectionTimeoutMillis()
+                && peer.lastHeartbeatMillis - peer.connectionLostMillis < settings.heartbeatIntervalMillis();
     }
 
-    /** Every entry VM that is listed, this one among them, in the order of the names. */
+    /** Every listed entry VM, including this one, sorted by name. */
     public List<Member> entries() {
         return entryPeers().stream().map(Peer::toMember).toList();
     }
 
-    /** The entries that are alive, leaving ones among them. */
+    /** The entries that are alive, including those that are leaving. */
     public List<Member> liveEntries() {
         return entries().stream().filter(Member::alive).toList();
     }
@@ -206,7 +214,7 @@
                 .map(Peer::toMember);
     }
 
-    /** The listed sidecars. Whether one is alive is told by its reports, not here. */
+    /** The listed sidecars. Their liveness is determined from their reports, not by this class. */
     public List<Vm> sidecars() {
         return peers.values().stream()
                 .map(peer -> peer.vm)
@@ -216,28 +224,29 @@
     }
 
     /**
-     * VMs that are due a heartbeat now; empty between two rounds. The number is bounded by the fan-out whatever the
-     * size of the fleet: a sidecar speaks to entries only, nearest first, an entry to other entries.
+     * The VMs to which a heartbeat is due now; empty between two rounds. Their number is bounded by the fan-out,
+     * regardless of the size of the fleet. A sidecar sends to entries only, those of its DataCentre first; an entry
+     * sends to other entries.
      */
     public List<String> heartbeatTargets(long nowMillis) {
         List<String> targets = schedule.targets(nowMillis, own.vm, entryPeers());
         if (!targets.isEmpty()) {
-            own.beat++;
+            own.sequence++;
         }
         return targets;
     }
 
-    /** This VM's own word, to go at the head of a heartbeat. */
+    /** The state of this VM, which comes first in a heartbeat. */
     public HeartbeatNews ownNews() {
         return own.toNews();
     }
 
-    /** Words about other entries that ride on the heartbeat to one target, the least passed on first. */
+    /** The heartbeats of other entries to forward to one target, those forwarded least often first. */
     public List<HeartbeatNews> digest(String target) {
         return schedule.digest(target, own, entryPeers());
     }
 
-    /** The entry that should claim a shard: rendezvous hashing over the live entries that are not leaving. */
+    /** The entry that should claim a shard, by rendezvous hashing over the live entries that are not leaving. */
     public Optional<String> candidate(int shard) {
         List<String> names = entryPeers().stream()
                 .filter(peer -> peer.alive && !peer.leaving())
@@ -246,7 +255,10 @@
         return Rendezvous.winner("shard-" + shard, names);
     }
 
-    /** Calls back after a VM came, went, fell silent, restarted, said that it leaves, or owns other shards. */
+    /**
+     * Adds a listener that is called after a VM was added or removed, its liveness changed, it restarted, announced its
+     * shutdown, or owns different shards.
+     */
     public void onChange(Runnable listener) {
         listeners.add(listener);
     }
--- a/core/src/main/java/org/quetzalshunt/core/membership/Peer.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/Peer.java
@@ -4,39 +4,42 @@
 import org.quetzalshunt.core.vm.Vm;
 import org.quetzalshunt.core.vm.VmId;
 
-/** Row of the membership table: one VM of the list, and the newest word about it. */
+/** One VM of the platform's list in the membership view, with the state of its newest heartbeat. */
 final class Peer {
     Vm vm;
     long incarnation;
-    long beat;
-    boolean heard;
-    long lastHeardMillis;
+    long sequence;
+    boolean heartbeatReceived;
+    long lastHeartbeatMillis;
     long connectionLostMillis = Long.MIN_VALUE;
-    boolean ownWordLeaving;
+    boolean announcedLeaving;
     long configurationNext;
     long configurationAgeMillis;
     List<Integer> ownedShards = List.of();
     boolean alive;
-    int timesPassedOn;
+    int timesForwarded;
 
     Peer(Vm vm) {
         this.vm = vm;
     }
 
-    /** Forgets what a former incarnation said. Guards against a replaced VM that inherits the dead one's shards. */
+    /**
+     * Discards the state of the former incarnation. Guards against a replaced VM that inherits the shards of the dead
+     * one.
+     */
     void restart(long newIncarnation) {
         incarnation = newIncarnation;
-        beat = 0;
-        ownWordLeaving = false;
+        sequence = 0;
+        announcedLeaving = false;
         configurationNext = 0;
         configurationAgeMillis = 0;
         ownedShards = List.of();
         connectionLostMillis = Long.MIN_VALUE;
-        timesPassedOn = 0;
+        timesForwarded = 0;
     }
 
     boolean leaving() {
-        return ownWordLeaving || vm.leaving();
+        return announcedLeaving || vm.leaving();
     }
 
     Member toMember() {
@@ -45,7 +48,7 @@
                 vm,
                 alive,
                 leaving(),
-                lastHeardMillis,
+                lastHeartbeatMillis,
                 configurationNext,
                 configurationAgeMillis,
                 ownedShards);
@@ -53,6 +56,12 @@
 
     HeartbeatNews toNews() {
         return new HeartbeatNews(
-                vm.name(), incarnation, beat, configurationNext, configurationAgeMillis, ownWordLeaving, ownedShards);
+                vm.name(),
+                incarnation,
+                sequence,
+                configurationNext,
+                configurationAgeMillis,
+                announcedLeaving,
+                ownedShards);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/membership/Rendezvous.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/Rendezvous.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 
 /**
- * Rendezvous hashing: every VM weighs each name with the key and takes the heaviest, so that a name that comes or goes
- * moves only the keys that it wins or loses. The hash is written out here because all VMs, also of other versions of
- * the program, must weigh alike.
+ * Rendezvous hashing: every VM computes the weight of each name for a key and selects the name with the highest weight.
+ * A name that is added or removed therefore moves only the keys that it gains or loses. The hash is implemented here
+ * because all VMs, including those that run another version of the program, must compute the same weights.
  */
 public final class Rendezvous {
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
@@ -15,14 +15,14 @@
 
     private Rendezvous() {}
 
-    /** The name that wins the key; empty when there are no names. */
+    /** The name with the highest weight for the key; empty if there are no names. */
     public static Optional<String> winner(String key, List<String> names) {
         return names.stream()
                 .max(Comparator.comparingLong((String name) -> weight(key, name))
                         .thenComparing(Comparator.naturalOrder()));
     }
 
-    /** Weight of a name for a key; the same on every VM. */
+    /** Weight of a name for a key, identical on every VM. */
     public static long weight(String key, String name) {
         return mix(hash(hash(FNV_OFFSET, key) ^ '/', name));
     }
@@ -35,7 +35,10 @@
         return hash;
     }
 
-    /** Finalizer of SplitMix64: spreads the weak high bits of FNV over the whole word, which the comparison needs. */
+    /**
+     * Finalizer of SplitMix64. It spreads the weak high bits of FNV over the whole word, on which the comparison of
+     * weights relies.
+     */
     private static long mix(long hash) {
         long mixed = (hash ^ (hash >>> 30)) * 0xbf58476d1ce4e5b9L;
         mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
--- a/core/src/main/java/org/quetzalshunt/core/membership/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Which VMs are there: the platform's lagging list, heartbeats that are passed on from VM to VM, and a leaving VM's own
- * word, which comes first. Nothing here is agreed between VMs: two VMs may hold different views for seconds, and
- * whatever must be exact (limits, ownership of a shard) is decided by records of the log instead.
+ * Tracks which VMs are in the fleet, from the platform's VM list, which lags, from heartbeats that VMs forward to each
+ * other, and from a VM's own announcement that it is leaving, which takes precedence. The VMs do not agree on a common
+ * view: two VMs may see different members for seconds. Decisions that must be exact (limits, ownership of a shard) are
+ * made by records of the log instead.
  */
 package org.quetzalshunt.core.membership;
--- a/core/src/test/java/org/quetzalshunt/core/membership/MembershipTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/membership/MembershipTest.java
@@ -14,7 +14,7 @@
 import org.quetzalshunt.core.vm.VmRole;
 
 final class MembershipTest {
-    private static final List<Vm> LIST = IntStream.range(0, 3)
+    private static final List<Vm> VM_LIST = IntStream.range(0, 3)
             .mapToObj(index -> vm("entry-" + index, VmRole.ENTRY, false))
             .toList();
 
@@ -25,16 +25,17 @@
         return new Vm(name, role, "127.0.0.1", 1, "arusha-a", "", leaving);
     }
 
-    private static HeartbeatNews word(String name, long incarnation, long beat, boolean leaving, Integer... shards) {
+    private static HeartbeatNews heartbeat(
+            String name, long incarnation, long beat, boolean leaving, Integer... shards) {
         return new HeartbeatNews(name, incarnation, beat, 10, 0, leaving, List.of(shards));
     }
 
     @BeforeEach
     void start() {
-        membership = Membership.create(VmId.of("entry-0", 5), LIST.get(0), MembershipSettings.defaults());
-        membership.onVmList(0, LIST);
-        membership.onHeartbeat(0, word("entry-1", 5, 1, false, 4));
-        membership.onHeartbeat(0, word("entry-2", 5, 1, false));
+        membership = Membership.create(VmId.of("entry-0", 5), VM_LIST.get(0), MembershipSettings.defaults());
+        membership.onVmList(0, VM_LIST);
+        membership.onHeartbeat(0, heartbeat("entry-1", 5, 1, false, 4));
+        membership.onHeartbeat(0, heartbeat("entry-2", 5, 1, false));
         membership.onChange(() -> changes++);
     }
 
@@ -44,28 +45,28 @@
 
     /**
      * A VM is replaced at the same address while it owns shards, and a late heartbeat of its former process arrives
-     * after the new one's first. Callers would be sent to shards that nobody owns.
+     * after the first one of the new process. Guards against callers that are sent to shards that no VM owns.
      */
     @Test
-    void wordOfAFormerIncarnationIsVoid() {
-        membership.onHeartbeat(100, word("entry-1", 6, 1, false));
-        membership.onHeartbeat(200, word("entry-1", 5, 9, true, 4));
+    void heartbeatOfAFormerIncarnationIsIgnored() {
+        membership.onHeartbeat(100, heartbeat("entry-1", 6, 1, false));
+        membership.onHeartbeat(200, heartbeat("entry-1", 5, 9, true, 4));
 
         assertThat(member("entry-1").id().incarnation()).isEqualTo(6);
         assertThat(member("entry-1").ownedShards()).isEmpty();
         assertThat(member("entry-1").leaving()).isFalse();
-        assertThat(membership.onIncarnation(200, VmId.of("entry-1", 5))).isFalse();
+        assertThat(membership.acceptIncarnation(200, VmId.of("entry-1", 5))).isFalse();
     }
 
     /**
-     * An entry says that it leaves, and then an older copy of its word, passed on by another, arrives. New programs
-     * would be placed on an entry that stops.
+     * An entry announces its shutdown, and then an older heartbeat of it, forwarded by another entry, arrives. Guards
+     * against new programs on an entry that is shutting down.
      */
     @Test
-    void leavingVmsOwnWordComesFirst() {
-        membership.onHeartbeat(100, word("entry-1", 5, 3, true));
-        membership.onDigest(200, List.of(word("entry-1", 5, 2, false)));
-        membership.onVmList(300, LIST);
+    void announcedShutdownIsNotRevokedByAnOlderHeartbeat() {
+        membership.onHeartbeat(100, heartbeat("entry-1", 5, 3, true));
+        membership.onDigest(200, List.of(heartbeat("entry-1", 5, 2, false)));
+        membership.onVmList(300, VM_LIST);
 
         assertThat(member("entry-1").leaving()).isTrue();
         assertThat(IntStream.range(0, 64)
@@ -74,41 +75,49 @@
                 .doesNotContain("entry-1");
     }
 
-    /** An entry's process dies: its connection closes, and words from before its death go on arriving through others. */
+    /**
+     * An entry's process dies. Its connection closes, while heartbeats from before its death still arrive through other
+     * entries.
+     */
     @Test
-    void lostConnectionAndNoLaterWordMeansDead() {
+    void lostConnectionWithoutLaterHeartbeatMeansDead() {
         membership.onConnectionLost(1_000, VmId.of("entry-1", 5));
-        membership.onDigest(1_200, List.of(word("entry-1", 5, 2, false)));
+        membership.onDigest(1_200, List.of(heartbeat("entry-1", 5, 2, false)));
         membership.tick(1_600);
 
         assertThat(member("entry-1").alive()).isFalse();
         assertThat(changes).isGreaterThan(0);
     }
 
-    /** A link breaks although both ends live: the entry connects again and must not lose its part of the limits. */
+    /**
+     * A connection breaks although both ends are alive. The entry reconnects and must not lose its part of the limits.
+     */
     @Test
-    void connectionThatComesBackKeepsTheEntryAlive() {
+    void reconnectionKeepsTheEntryAlive() {
         membership.onConnectionLost(1_000, VmId.of("entry-1", 5));
-        membership.onHeartbeat(1_300, word("entry-1", 5, 2, false));
+        membership.onHeartbeat(1_300, heartbeat("entry-1", 5, 2, false));
         membership.tick(1_700);
 
         assertThat(member("entry-1").alive()).isTrue();
     }
 
-    /** An entry hangs with its connections open: it is found by its silence, not by TCP. */
+    /**
+     * An entry hangs with its connections open. It must be detected by its missing heartbeats, since TCP reports no
+     * failure.
+     */
     @Test
-    void silenceMeansDead() {
-        membership.onHeartbeat(3_000, word("entry-2", 5, 2, false));
+    void missingHeartbeatsMeanDead() {
+        membership.onHeartbeat(3_000, heartbeat("entry-2", 5, 2, false));
         membership.tick(4_100);
 
         assertThat(member("entry-1").alive()).isFalse();
         assertThat(member("entry-2").alive()).isTrue();
     }
 
-    /** The platform's list lags: it names a VM that has gone, and not yet one that has come. */
+    /** The platform's list lags: it names a VM that is no longer running, and omits one that has just started. */
     @Test
-    void listedButUnheardIsNotAlive() {
-        List<Vm> longer = new ArrayList<>(LIST);
+    void listedVmWithoutHeartbeatIsNotAlive() {
+        List<Vm> longer = new ArrayList<>(VM_LIST);
         longer.add(vm("entry-3", VmRole.ENTRY, false));
         longer.add(vm("sidecar-1", VmRole.SIDECAR, false));
         membership.onVmList(100, longer);
@@ -118,7 +127,7 @@
         assertThat(membership.sidecars()).hasSize(1);
     }
 
-    /** Whatever the size of the fleet, one round costs a bounded number of messages. */
+    /** Guards against traffic that grows with the fleet: one round costs a bounded number of messages at every size. */
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 48, 330})
     void heartbeatsAreBounded(int size) {
@@ -126,7 +135,7 @@
                 .mapToObj(index -> vm("entry-" + index, VmRole.ENTRY, false))
                 .toList();
         membership.onVmList(0, list);
-        list.forEach(vm -> membership.onHeartbeat(10, word(vm.name(), 5, 2, false)));
+        list.forEach(vm -> membership.onHeartbeat(10, heartbeat(vm.name(), 5, 2, false)));
 
         List<String> targets = membership.heartbeatTargets(100);
         assertThat(targets).hasSize(Math.min(size - 1, 4));
