--- a/core/src/main/java/org/quetzalshunt/core/budget/ProgramAllotment.java
+++ b/core/src/main/java/org/quetzalshunt/core/budget/ProgramAllotment.java
@@ -3,174 +3,188 @@
 import java.util.OptionalLong;
 
 /**
- * The tokens of one program as one VM sees them. A VM raises its allotment, a record in the shared map, and hands out no
- * more than that; the sum of all VMs' allotments is kept within the budget and the most of one turn by appends that expect
- * the shard as it was read. What a VM held that died counts as spent.
+ * Tracks one VM's allotment of a program's token budget. The VM records its allotment in the shared map and grants turns at
+ * most that many tokens. Allotments are raised by conditional appends, which keep the sum over all VMs within the budget plus
+ * the maximum of one turn. The whole allotment of a VM that has failed counts as spent.
  *
- * <p>Load pattern: programs whose turns arrive through one VM after another. What a VM has not handed out yet, it gives to
- * the VM of the next turn, over a link and without the shared map. An allotment therefore covers several turns while its
- * budget is ample. Where tokens are not given on, it covers the next turn only: each VM on the way would keep tokens that
- * nobody hands out, and a program well within its budget would be told that it is spent.
+ * <p>Load pattern: programs whose consecutive turns arrive at different VMs. A VM transfers its unused tokens to the VM of
+ * the next turn over a link between the two, without access to the shared map, so an allotment covers several turns while
+ * the budget is ample. If transfers are disabled, an allotment covers the next turn only: tokens left over at each VM could
+ * not be used elsewhere, and a program well within its budget would be reported as exhausted.
  *
- * <p>An allotment is never lowered. A lower record whose answer is lost may land after a later, higher one, and the other
- * VMs would then count on tokens that this one hands out. A record counts until it expires, and so do the tokens that come
- * from it, wherever they are.
+ * <p>An allotment is never lowered. An append of a lower value whose answer is lost could be applied after a later, higher
+ * one, and the other VMs would then allot tokens that this VM still grants. Tokens are valid until the record that they come
+ * from expires, also after a transfer to another VM.
  */
 public final class ProgramAllotment {
-    /** Tokens that went from one VM to another, and the time of day until which they count, in Unix milliseconds. */
+    /** Tokens transferred from one VM to another, and the time at which they expire, in Unix milliseconds. */
     public record Transfer(long tokens, long untilMillis) {
         /** No tokens. */
         public static final Transfer NONE = new Transfer(0, 0);
     }
 
-    /** Turns that must still fit besides, for a turn to be sent ahead of its grant. */
-    private static final int AMPLE_TURNS = 2;
+    /** Number of further turns that the budget must cover for a turn to be sent to an endpoint before its grant arrives. */
+    private static final int HEADROOM_TURNS = 2;
 
-    /** Room for this many turns besides makes a spare harmless. */
-    private static final int SPARE_ROOM_TURNS = 8;
+    /** Number of further turns that the budget must cover for the tokens of a second turn to be allotted in advance. */
+    private static final int ADVANCE_HEADROOM_TURNS = 8;
 
-    /** One part in three of what is left of the budget: two VMs may die with it before the program is short of tokens. */
-    private static final int CARRIED_PARTS = 3;
+    /**
+     * With transfers, one raise requests a third of the remaining budget: two VMs may fail with such an allotment before the
+     * program runs short of tokens.
+     */
+    private static final int REMAINING_BUDGET_DIVISOR = 3;
 
-    private final boolean carried;
+    private final boolean transferable;
     private long allotted;
-    private long free;
-    private long freeUntilMillis;
-    private boolean received;
+    private long available;
+    private long availableUntilMillis;
+    private boolean includesReceived;
     private long others;
     private boolean known;
 
-    private ProgramAllotment(boolean carried) {
-        this.carried = carried;
+    private ProgramAllotment(boolean transferable) {
+        this.transferable = transferable;
     }
 
     /**
-     * A program of which nothing is known.
+     * Creates the allotment of a program whose records have not been read yet.
      *
-     * @param carried whether VMs give tokens on to the VM of the next turn
+     * @param transferable whether VMs transfer unused tokens to the VM of the next turn
      */
-    public static ProgramAllotment unknown(boolean carried) {
-        return new ProgramAllotment(carried);
+    public static ProgramAllotment unknown(boolean transferable) {
+        return new ProgramAllotment(transferable);
     }
 
     /**
-     * The shared map was read: what other VMs hold, and what this one holds.
+     * Applies the allotments read from the shared map.
      *
-     * @param untilMillis when the own record expires, as a time of day
+     * @param expiresMillis when this VM's own record expires, in Unix milliseconds
      */
-    public void read(long othersAllotted, long ownAllotted, long untilMillis) {
+    public void read(long othersAllotted, long ownAllotted, long expiresMillis) {
         others = othersAllotted;
         if (ownAllotted > allotted) {
-            // An append whose answer was lost.
-            granted(ownAllotted, untilMillis);
+            // An earlier append was applied, but its answer was lost.
+            granted(ownAllotted, expiresMillis);
         }
         allotted = ownAllotted;
         known = true;
     }
 
-    /** Another VM read how much all VMs together were allotted; records only grow while the program lives. */
+    /**
+     * Applies the total allotment of all VMs as reported by another VM. Records only grow while the program exists, so the
+     * total is a lower bound.
+     */
     public void allottedAtLeast(long total) {
         others = Math.max(others, total - allotted);
         known = true;
     }
 
-    /** Whether it is known what other VMs hold. */
+    /** Whether the allotments of the other VMs are known. */
     public boolean known() {
         return known;
     }
 
     /**
-     * Whether a turn may start on what this VM has.
+     * Whether this VM has enough tokens for a turn without a raise of its allotment.
      *
-     * @param untilMillis time of day until which the tokens must count
+     * @param untilMillis time until which the tokens must stay valid, in Unix milliseconds
      */
     public boolean covers(long maximumTokens, long untilMillis) {
-        return free >= maximumTokens && freeUntilMillis >= untilMillis;
+        return available >= maximumTokens && availableUntilMillis >= untilMillis;
     }
 
-    /** Whether, by what was last read, more turns fit than this one, so that its grant is almost sure to come. */
+    /** Whether, by the records last read, the budget covers this turn and further ones, so that a grant is almost certain. */
     public boolean hasHeadroom(long budget, long maximumTokens) {
-        return known && room(budget) >= (1 + AMPLE_TURNS) * maximumTokens;
+        return known && remaining(budget) >= (1 + HEADROOM_TURNS) * maximumTokens;
     }
 
-    private long handedOut() {
-        return allotted - free;
+    /**
+     * Tokens granted to turns or transferred to other VMs, less the tokens received from other VMs; negative if more were
+     * received.
+     */
+    private long netUsed() {
+        return allotted - available;
     }
 
-    private long room(long budget) {
-        return budget - others - handedOut();
+    private long remaining(long budget) {
+        return budget - others - netUsed();
     }
 
-    /** A turn starts; it may hand out that many tokens. */
+    /** Reserves the maximum tokens of a turn that starts. */
     public void started(long maximumTokens) {
-        free -= maximumTokens;
+        available -= maximumTokens;
     }
 
-    /** A turn ended, having handed out fewer tokens than it might have. */
-    public void ended(long maximumTokens, long handedOut) {
-        free += Math.max(0, maximumTokens - handedOut);
+    /** Releases the tokens that a turn had reserved and did not generate. */
+    public void ended(long maximumTokens, long generatedTokens) {
+        available += Math.max(0, maximumTokens - generatedTokens);
     }
 
-    /** Gives up received tokens that will not count for long enough; those of the own record count on once it is renewed. */
+    /**
+     * Discards received tokens that expire before a given time. Tokens of this VM's own record are kept, since a renewal of
+     * the record extends them.
+     */
     public void expire(long untilMillis) {
-        if (received && freeUntilMillis < untilMillis) {
-            free = 0;
-            received = false;
+        if (includesReceived && availableUntilMillis < untilMillis) {
+            available = 0;
+            includesReceived = false;
         }
     }
 
     /**
-     * The allotment to ask for, so that one more turn may start; empty when the budget is spent.
+     * Computes the allotment to request so that one more turn can start; empty if the budget is exhausted.
      *
-     * @param budget tokens that all turns of the program may generate
+     * @param budget tokens that all turns of the program together may generate
      * @param maximumTokens tokens that the turn may generate
      */
     public OptionalLong wanted(long budget, long maximumTokens) {
-        if (room(budget) < 0) {
+        if (remaining(budget) < 0) {
             return OptionalLong.empty();
         }
-        return OptionalLong.of(Math.max(allotted, handedOut() + turns(budget, maximumTokens) * maximumTokens));
+        return OptionalLong.of(Math.max(allotted, netUsed() + turnsToCover(budget, maximumTokens) * maximumTokens));
     }
 
-    private long turns(long budget, long maximumTokens) {
-        if (carried) {
-            return Math.max(1, room(budget) / (CARRIED_PARTS * maximumTokens));
+    private long turnsToCover(long budget, long maximumTokens) {
+        if (transferable) {
+            return Math.max(1, remaining(budget) / (REMAINING_BUDGET_DIVISOR * maximumTokens));
         }
-        boolean ample = room(budget) >= (1 + SPARE_ROOM_TURNS) * maximumTokens;
-        return ample && handedOut() > 0 ? 2 : 1;
+        boolean ample = remaining(budget) >= (1 + ADVANCE_HEADROOM_TURNS) * maximumTokens;
+        return ample && netUsed() > 0 ? 2 : 1;
     }
 
-    /** The wanted allotment is kept in the shared map until a time of day. */
+    /** Applies a requested allotment that was stored in the shared map, valid until the given Unix time in milliseconds. */
     public void granted(long tokens, long untilMillis) {
-        received = received && free > 0;
-        freeUntilMillis = received ? Math.min(freeUntilMillis, untilMillis) : untilMillis;
-        free += tokens - allotted;
+        includesReceived = includesReceived && available > 0;
+        availableUntilMillis = includesReceived ? Math.min(availableUntilMillis, untilMillis) : untilMillis;
+        available += tokens - allotted;
         allotted = tokens;
     }
 
-    /** Gives all that no turn holds to another VM; empty when there is nothing to give. */
+    /** Removes all unreserved tokens for transfer to another VM; a transfer of no tokens if there are none. */
     public Transfer giveOn() {
-        Transfer transfer = new Transfer(Math.max(0, free), freeUntilMillis);
-        free -= transfer.tokens();
+        Transfer transfer = new Transfer(Math.max(0, available), availableUntilMillis);
+        available -= transfer.tokens();
         return transfer;
     }
 
-    /** Another VM gave tokens. */
+    /** Adds tokens transferred from another VM. */
     public void received(Transfer transfer) {
         if (transfer.tokens() <= 0) {
             return;
         }
-        freeUntilMillis = free > 0 ? Math.min(freeUntilMillis, transfer.untilMillis()) : transfer.untilMillis();
-        free += transfer.tokens();
-        received = true;
+        availableUntilMillis =
+                available > 0 ? Math.min(availableUntilMillis, transfer.untilMillis()) : transfer.untilMillis();
+        available += transfer.tokens();
+        includesReceived = true;
     }
 
-    /** Tokens that this VM was allotted, for logs. */
+    /** Tokens allotted to this VM. */
     public long allotted() {
         return allotted;
     }
 
-    /** Tokens that other VMs were allotted, for logs. */
+    /** Tokens allotted to the other VMs. */
     public long others() {
         return others;
     }
--- a/core/src/main/java/org/quetzalshunt/core/budget/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/budget/package-info.java
@@ -1,2 +1,2 @@
-/** Token budgets of programs, spent at several VMs at once without an owner. */
+/** Token budgets of programs, which several VMs spend concurrently without a single owner. */
 package org.quetzalshunt.core.budget;
--- a/core/src/test/java/org/quetzalshunt/core/budget/ProgramAllotmentTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/budget/ProgramAllotmentTest.java
@@ -15,165 +15,169 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 final class ProgramAllotmentTest {
-    private static final long MOST = 280;
-    private static final long UNTIL = 60_000;
-    private static final boolean CARRIED = true;
+    private static final long MAXIMUM_TOKENS = 280;
+    private static final long EXPIRES_MILLIS = 60_000;
+    private static final boolean TRANSFERABLE = true;
 
     /**
-     * A program of nine turns arrives through another VM each time, and each turn generates a quarter of what it may. Its
-     * budget covers all of them at their most; with spares held at every VM it was refused after four.
+     * Nine turns of a program arrive at nine different VMs, and its budget covers the maximum of all of them. When every VM
+     * kept a spare allotment, the program was refused after four turns.
      */
     @Test
     void everyTurnThatTheBudgetCoversIsGrantedAcrossManyVms() {
         long others = 0;
         for (int vm = 0; vm < 9; vm++) {
-            ProgramAllotment allotment = ProgramAllotment.unknown(!CARRIED);
-            allotment.read(others, 0, UNTIL);
-            OptionalLong wanted = allotment.wanted(9 * MOST, MOST);
-            assertWithMessage("turn " + vm).that(wanted).isEqualTo(OptionalLong.of(MOST));
+            ProgramAllotment allotment = ProgramAllotment.unknown(!TRANSFERABLE);
+            allotment.read(others, 0, EXPIRES_MILLIS);
+            OptionalLong wanted = allotment.wanted(9 * MAXIMUM_TOKENS, MAXIMUM_TOKENS);
+            assertWithMessage("turn " + vm).that(wanted).isEqualTo(OptionalLong.of(MAXIMUM_TOKENS));
             others += wanted.getAsLong();
         }
     }
 
     /**
-     * The same program where each VM gives its tokens to the next one: the shared map is asked for every third turn or so,
-     * and no turn that the budget covers at its most is refused.
+     * Nine turns of a program arrive at nine different VMs, each of which transfers its unused tokens to the next. Each turn
+     * generates a quarter of its maximum. Guards against a raise for more than about every third turn, and against refusing
+     * a turn that the budget covers.
      */
     @Test
-    void tokensThatAreGivenOnSpareMostCallsAcrossManyVms() {
+    void transfersAvoidMostAppendsAcrossManyVms() {
         long others = 0;
         int raises = 0;
         ProgramAllotment.Transfer transfer = new ProgramAllotment.Transfer(0, 0);
         for (int vm = 0; vm < 9; vm++) {
-            ProgramAllotment allotment = ProgramAllotment.unknown(CARRIED);
+            ProgramAllotment allotment = ProgramAllotment.unknown(TRANSFERABLE);
             allotment.received(transfer);
-            if (!allotment.covers(MOST, UNTIL)) {
-                allotment.read(others, 0, UNTIL);
-                long wanted = allotment.wanted(9 * MOST, MOST).getAsLong();
-                allotment.granted(wanted, UNTIL);
+            if (!allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS)) {
+                allotment.read(others, 0, EXPIRES_MILLIS);
+                long wanted =
+                        allotment.wanted(9 * MAXIMUM_TOKENS, MAXIMUM_TOKENS).getAsLong();
+                allotment.granted(wanted, EXPIRES_MILLIS);
                 others += wanted;
                 raises++;
             }
-            allotment.started(MOST);
-            allotment.ended(MOST, MOST / 4);
+            allotment.started(MAXIMUM_TOKENS);
+            allotment.ended(MAXIMUM_TOKENS, MAXIMUM_TOKENS / 4);
             transfer = allotment.giveOn();
         }
         assertThat(raises).isAtMost(2);
-        assertThat(others).isAtMost(9 * MOST);
+        assertThat(others).isAtMost(9 * MAXIMUM_TOKENS);
     }
 
-    /** Guards against a program that spends tokens whose record other VMs count as void. */
+    /** Guards against a program that spends tokens of a record that other VMs treat as expired. */
     @Test
-    void receivedTokensCountOnlyUntilTheirRecordExpires() {
-        ProgramAllotment allotment = ProgramAllotment.unknown(CARRIED);
-        allotment.received(new ProgramAllotment.Transfer(MOST, UNTIL - 1));
-        assertThat(allotment.covers(MOST, UNTIL - 1)).isTrue();
-        assertThat(allotment.covers(MOST, UNTIL)).isFalse();
-
-        allotment.read(MOST, 0, UNTIL);
-        allotment.expire(UNTIL);
-        allotment.granted(allotment.wanted(3 * MOST, MOST).getAsLong(), UNTIL);
-        assertThat(allotment.allotted()).isEqualTo(MOST);
-        assertThat(allotment.covers(MOST, UNTIL)).isTrue();
+    void receivedTokensExpireWithTheirRecord() {
+        ProgramAllotment allotment = ProgramAllotment.unknown(TRANSFERABLE);
+        allotment.received(new ProgramAllotment.Transfer(MAXIMUM_TOKENS, EXPIRES_MILLIS - 1));
+        assertThat(allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS - 1)).isTrue();
+        assertThat(allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS)).isFalse();
+
+        allotment.read(MAXIMUM_TOKENS, 0, EXPIRES_MILLIS);
+        allotment.expire(EXPIRES_MILLIS);
+        allotment.granted(allotment.wanted(3 * MAXIMUM_TOKENS, MAXIMUM_TOKENS).getAsLong(), EXPIRES_MILLIS);
+        assertThat(allotment.allotted()).isEqualTo(MAXIMUM_TOKENS);
+        assertThat(allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS)).isTrue();
     }
 
     @Test
-    void ownRecordCountsOnOnceItIsRenewed() {
-        ProgramAllotment allotment = ProgramAllotment.unknown(CARRIED);
-        allotment.read(0, 0, UNTIL);
-        allotment.granted(2 * MOST, UNTIL);
-        assertThat(allotment.covers(MOST, UNTIL + 1)).isFalse();
-
-        allotment.expire(UNTIL + 1);
-        allotment.granted(allotment.wanted(3 * MOST, MOST).getAsLong(), UNTIL + 1);
-        assertThat(allotment.allotted()).isEqualTo(2 * MOST);
-        assertThat(allotment.covers(2 * MOST, UNTIL + 1)).isTrue();
+    void ownTokensAreValidAgainAfterRenewal() {
+        ProgramAllotment allotment = ProgramAllotment.unknown(TRANSFERABLE);
+        allotment.read(0, 0, EXPIRES_MILLIS);
+        allotment.granted(2 * MAXIMUM_TOKENS, EXPIRES_MILLIS);
+        assertThat(allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS + 1)).isFalse();
+
+        allotment.expire(EXPIRES_MILLIS + 1);
+        allotment.granted(allotment.wanted(3 * MAXIMUM_TOKENS, MAXIMUM_TOKENS).getAsLong(), EXPIRES_MILLIS + 1);
+        assertThat(allotment.allotted()).isEqualTo(2 * MAXIMUM_TOKENS);
+        assertThat(allotment.covers(2 * MAXIMUM_TOKENS, EXPIRES_MILLIS + 1)).isTrue();
     }
 
-    /** Guards against turns of a spent program that cost their account a token of its rate at each VM. */
+    /** Guards against turns of a program without budget that cost their account a rate token at each VM. */
     @ParameterizedTest
     @CsvSource({"4000, 0, true", "4001, 0, false", "4001, 280, true"})
-    void exhaustionThatAnotherVmReportedCounts(long allottedInAll, long received, boolean mayStart) {
-        ProgramAllotment allotment = ProgramAllotment.unknown(CARRIED);
-        allotment.received(new ProgramAllotment.Transfer(received, UNTIL));
-        allotment.allottedAtLeast(allottedInAll);
-        boolean raised = allotment.wanted(4_000, MOST).isPresent();
-        assertThat(allotment.covers(MOST, UNTIL) || raised).isEqualTo(mayStart);
+    void exhaustionReportedByAnotherVmIsApplied(long totalAllotted, long received, boolean canStart) {
+        ProgramAllotment allotment = ProgramAllotment.unknown(TRANSFERABLE);
+        allotment.received(new ProgramAllotment.Transfer(received, EXPIRES_MILLIS));
+        allotment.allottedAtLeast(totalAllotted);
+        boolean raised = allotment.wanted(4_000, MAXIMUM_TOKENS).isPresent();
+        assertThat(allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS) || raised).isEqualTo(canStart);
     }
 
     @Test
-    void nextTurnIsGrantedWithWhatTheLastDidNotHandOut() {
-        ProgramAllotment allotment = ProgramAllotment.unknown(!CARRIED);
-        allotment.read(0, 0, UNTIL);
-        allotment.granted(MOST, UNTIL);
-        allotment.started(MOST);
-        allotment.ended(MOST, 70);
-        assertThat(allotment.covers(MOST, UNTIL)).isFalse();
-        assertThat(allotment.wanted(1_400, MOST)).isEqualTo(OptionalLong.of(70 + MOST));
+    void unusedTokensOfATurnReduceTheNextRaise() {
+        ProgramAllotment allotment = ProgramAllotment.unknown(!TRANSFERABLE);
+        allotment.read(0, 0, EXPIRES_MILLIS);
+        allotment.granted(MAXIMUM_TOKENS, EXPIRES_MILLIS);
+        allotment.started(MAXIMUM_TOKENS);
+        allotment.ended(MAXIMUM_TOKENS, 70);
+        assertThat(allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS)).isFalse();
+        assertThat(allotment.wanted(1_400, MAXIMUM_TOKENS)).isEqualTo(OptionalLong.of(70 + MAXIMUM_TOKENS));
     }
 
     @Test
-    void ampleBudgetSparesTheNextTurnItsCall() {
-        ProgramAllotment allotment = ProgramAllotment.unknown(!CARRIED);
-        allotment.read(0, 0, UNTIL);
+    void ampleBudgetAllotsTheNextTurnInAdvance() {
+        ProgramAllotment allotment = ProgramAllotment.unknown(!TRANSFERABLE);
+        allotment.read(0, 0, EXPIRES_MILLIS);
         for (int turn = 0; turn < 2; turn++) {
-            allotment.granted(allotment.wanted(20 * MOST, MOST).getAsLong(), UNTIL);
-            allotment.started(MOST);
-            allotment.ended(MOST, MOST);
+            allotment.granted(
+                    allotment.wanted(20 * MAXIMUM_TOKENS, MAXIMUM_TOKENS).getAsLong(), EXPIRES_MILLIS);
+            allotment.started(MAXIMUM_TOKENS);
+            allotment.ended(MAXIMUM_TOKENS, MAXIMUM_TOKENS);
         }
-        assertThat(allotment.covers(MOST, UNTIL)).isTrue();
+        assertThat(allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS)).isTrue();
     }
 
     @ParameterizedTest
     @CsvSource({"840, 0, true", "840, 1, false", "279, 0, false"})
-    void ampleBudgetHasRoomForMoreThanTheTurn(long budget, long others, boolean hasHeadroom) {
-        ProgramAllotment allotment = ProgramAllotment.unknown(!CARRIED);
-        assertThat(allotment.hasHeadroom(budget, MOST)).isFalse();
-        allotment.read(others, 0, UNTIL);
-        assertThat(allotment.hasHeadroom(budget, MOST)).isEqualTo(hasHeadroom);
+    void headroomRequiresRoomForFurtherTurns(long budget, long others, boolean hasHeadroom) {
+        ProgramAllotment allotment = ProgramAllotment.unknown(!TRANSFERABLE);
+        assertThat(allotment.hasHeadroom(budget, MAXIMUM_TOKENS)).isFalse();
+        allotment.read(others, 0, EXPIRES_MILLIS);
+        assertThat(allotment.hasHeadroom(budget, MAXIMUM_TOKENS)).isEqualTo(hasHeadroom);
     }
 
     @Test
-    void spentBudgetIsRefused() {
-        ProgramAllotment allotment = ProgramAllotment.unknown(!CARRIED);
-        allotment.read(4_001, 0, UNTIL);
-        assertThat(allotment.wanted(4_000, MOST)).isEqualTo(OptionalLong.empty());
+    void exhaustedBudgetIsRefused() {
+        ProgramAllotment allotment = ProgramAllotment.unknown(!TRANSFERABLE);
+        allotment.read(4_001, 0, EXPIRES_MILLIS);
+        assertThat(allotment.wanted(4_000, MAXIMUM_TOKENS)).isEqualTo(OptionalLong.empty());
     }
 
     /**
-     * A program loops and starts turns at several VMs at once; VMs die and come back under another life, and their former
-     * allotment stays in the map. Over all of it, no more is handed out than the budget and the most of one turn.
+     * A looping program starts turns at several VMs concurrently. VMs crash and restart as new incarnations, while the
+     * allotments of the old ones stay in the map. The tokens granted must never exceed the budget plus the maximum of one
+     * turn.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void neverHandsOutMoreThanTheBudgetAndOneTurn(long seed) {
-        play(seed, !CARRIED);
+    void neverGrantsMoreThanTheBudgetAndOneTurn(long seed) {
+        simulate(seed, !TRANSFERABLE);
     }
 
-    /** The same while VMs give their tokens to each other, and lose some of them on the way. */
+    /** The same while VMs transfer tokens to each other and some of the transfers are lost. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void neverHandsOutMoreAlsoWhereTokensAreGivenOn(long seed) {
-        play(seed, CARRIED);
+    void neverGrantsMoreThanTheBudgetAndOneTurnWithTransfers(long seed) {
+        simulate(seed, TRANSFERABLE);
     }
 
-    private static void play(long seed, boolean carried) {
+    private static void simulate(long seed, boolean transferable) {
         Random random = new Random(seed);
         long budget = 840L + random.nextInt(4_000);
         Map<String, Long> map = new HashMap<>();
         List<ProgramAllotment> vms = new ArrayList<>();
-        List<String> lives = new ArrayList<>();
-        List<Integer> running = new ArrayList<>();
+        List<String> incarnations = new ArrayList<>();
+        List<Integer> runningTurns = new ArrayList<>();
         for (int vm = 0; vm < 3; vm++) {
-            vms.add(ProgramAllotment.unknown(carried));
-            lives.add("vm" + vm);
-            running.add(0);
+            vms.add(ProgramAllotment.unknown(transferable));
+            incarnations.add("vm" + vm);
+            runningTurns.add(0);
         }
-        long handedOut = 0;
+        long generatedTokens = 0;
         for (int step = 0; step < 400; step++) {
             int vm = random.nextInt(3);
             ProgramAllotment allotment = vms.get(vm);
-            if (carried && random.nextInt(3) == 0) {
+            if (transferable && random.nextInt(3) == 0) {
                 ProgramAllotment.Transfer transfer = allotment.giveOn();
                 if (random.nextInt(4) > 0) {
                     vms.get(random.nextInt(3)).received(transfer);
@@ -181,41 +185,41 @@
             }
             switch (random.nextInt(4)) {
                 case 0, 1 -> {
-                    if (!allotment.covers(MOST, UNTIL)) {
-                        String own = lives.get(vm);
+                    if (!allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS)) {
+                        String own = incarnations.get(vm);
                         long others = map.entrySet().stream()
                                 .filter(entry -> !entry.getKey().equals(own))
                                 .mapToLong(Map.Entry::getValue)
                                 .sum();
-                        allotment.read(others, map.getOrDefault(own, 0L), UNTIL);
-                        allotment.wanted(budget, MOST).ifPresent(tokens -> {
+                        allotment.read(others, map.getOrDefault(own, 0L), EXPIRES_MILLIS);
+                        allotment.wanted(budget, MAXIMUM_TOKENS).ifPresent(tokens -> {
                             map.put(own, tokens);
-                            allotment.granted(tokens, UNTIL);
+                            allotment.granted(tokens, EXPIRES_MILLIS);
                         });
                     }
-                    if (allotment.covers(MOST, UNTIL)) {
-                        allotment.started(MOST);
-                        running.set(vm, running.get(vm) + 1);
+                    if (allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS)) {
+                        allotment.started(MAXIMUM_TOKENS);
+                        runningTurns.set(vm, runningTurns.get(vm) + 1);
                     }
                 }
                 case 2 -> {
-                    if (running.get(vm) > 0) {
-                        long tokens = random.nextInt((int) MOST + 1);
-                        handedOut += tokens;
-                        allotment.ended(MOST, tokens);
-                        running.set(vm, running.get(vm) - 1);
+                    if (runningTurns.get(vm) > 0) {
+                        long tokens = random.nextInt((int) MAXIMUM_TOKENS + 1);
+                        generatedTokens += tokens;
+                        allotment.ended(MAXIMUM_TOKENS, tokens);
+                        runningTurns.set(vm, runningTurns.get(vm) - 1);
                     }
                 }
                 default -> {
                     if (random.nextInt(20) == 0) {
-                        handedOut += running.get(vm) * MOST;
-                        vms.set(vm, ProgramAllotment.unknown(carried));
-                        lives.set(vm, "vm" + vm + "-" + step);
-                        running.set(vm, 0);
+                        generatedTokens += runningTurns.get(vm) * MAXIMUM_TOKENS;
+                        vms.set(vm, ProgramAllotment.unknown(transferable));
+                        incarnations.set(vm, "vm" + vm + "-" + step);
+                        runningTurns.set(vm, 0);
                     }
                 }
             }
-            assertWithMessage("seed " + seed).that(handedOut).isAtMost(budget + MOST);
+            assertWithMessage("seed " + seed).that(generatedTokens).isAtMost(budget + MAXIMUM_TOKENS);
         }
     }
 }
