--- a/core/src/main/java/org/quetzalshunt/core/policy/Mechanism.java
+++ b/core/src/main/java/org/quetzalshunt/core/policy/Mechanism.java
@@ -4,43 +4,61 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** A rule of the policy that can be switched off; what stands in its place is said with each. */
+/**
+ * Parts of the scheduling policy that can be disabled one by one. The comment of each describes its effect and the behaviour
+ * without it.
+ */
 public enum Mechanism {
-    /** Work goes where its prompt lies in memory. Without it: where least runs. */
+    /** Sends work to endpoints that have its prompt cached. Without it: to the least loaded endpoint. */
     PREFIX_AFFINITY,
-    /** Gateways tell each other where prompts lie. Without it: each knows of its own turns only. */
+    /** Gateways announce which endpoints cache which prompts. Without it: each gateway knows its own turns only. */
     SHARED_PREFIX_LOCATIONS,
-    /** A part that no endpoint is known to hold goes where all gateways agree on. Without it: anywhere. */
+    /**
+     * Sends a prompt part that no endpoint is known to cache to an endpoint that all gateways choose alike by rendezvous
+     * hashing. Without it: to any endpoint.
+     */
     PREFIX_PLACEMENT,
-    /** Two endpoints picked at random are compared. Without it: all, so that VMs herd to the one that looked best. */
+    /**
+     * Compares two endpoints picked at random. Without it: all endpoints are compared, and all VMs pick the one that looks
+     * best at the same time.
+     */
     TWO_CHOICES,
-    /** Prompts that an endpoint has still to read count as a wait there. Without it: an empty new one draws all at once. */
+    /**
+     * Adds the prompts queued for prefill at an endpoint to its expected wait. Without it: a new, empty endpoint attracts all
+     * requests at once.
+     */
     PREFILL_BACKLOG,
-    /** An endpoint's speed is its time for a token. Without it: the mean time of whole runs, long and short alike. */
+    /** Estimates an endpoint's speed by its time per token. Without it: by the mean time of whole runs of any length. */
     TOKEN_RATE,
-    /** Rates are settled quickly after an outage or a restart. Without it: at the calm pace of one round a second. */
+    /**
+     * After an outage or a restart, a VM reads the heartbeats of its peers at short intervals until it holds its quota shares.
+     * Without it: once a second, as in steady state.
+     */
     FAST_RENEWAL,
-    /** Requests wait for a part of their time for an outage to end. Without it: refused at once. */
+    /** In an outage, requests wait for a part of their remaining time. Without it: they are refused at once. */
     OUTAGE_WAIT,
-    /** Callers come back late enough to outlive an outage for all. Without it: after 0.9 s. */
+    /** Retry-after times in an outage of all VMs are long enough to outlast it. Without it: 0.9 s. */
     OUTAGE_RETRY_DELAY,
-    /** Beginnings beyond their account's rate come back late. Without it: as soon as others. */
+    /** First turns of programs beyond their account's rate get a longer retry-after time. Without it: the usual one. */
     PROGRAM_START_DELAY,
-    /** The gateway of the turn before gives its chain and unspent tokens. Without it: both come from the store. */
+    /**
+     * The gateway that ran the previous turn sends its history and unused budget tokens to the next one. Without it: both are
+     * read from the store.
+     */
     PEER_HISTORY,
-    /** Gateways tell each other of exhausted budgets. Without it: each finds out by itself, after a token of the rate. */
+    /** Gateways announce exhausted budgets. Without it: each finds out by itself, at the cost of one rate token. */
     SHARED_EXHAUSTION,
-    /** A program starts on a token of its account that is there now. Without it: its start waits for one to be earned. */
+    /** A program starts only on a rate token that is available now. Without it: its start may wait for the next one. */
     STARTS_WITHOUT_WAIT,
-    /** Where starts wait, those of the most urgent programs wait longer. Without it: as long as others. */
+    /** Where program starts wait for tokens, the most urgent programs wait longer. Without it: as long as others. */
     URGENT_STARTS;
 
-    /** Name in flags: lower case, with hyphens. */
+    /** Name on the command line: lower case, with hyphens. */
     public String flag() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** The mechanism with a name as in flags. */
+    /** Finds a mechanism by its name on the command line. */
     public static Optional<Mechanism> ofFlag(String flag) {
         return Arrays.stream(values())
                 .filter(mechanism -> mechanism.flag().equals(flag))
--- a/core/src/main/java/org/quetzalshunt/core/policy/Policy.java
+++ b/core/src/main/java/org/quetzalshunt/core/policy/Policy.java
@@ -4,33 +4,33 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** The mechanisms in force, chosen once at start. */
+/** The set of enabled mechanisms, chosen once at start. */
 public final class Policy {
-    private final Set<Mechanism> inForce;
+    private final Set<Mechanism> enabled;
 
-    private Policy(Set<Mechanism> inForce) {
-        this.inForce = inForce;
+    private Policy(Set<Mechanism> enabled) {
+        this.enabled = enabled;
     }
 
-    /** All mechanisms. */
+    /** A policy with all mechanisms enabled. */
     public static Policy whole() {
         return new Policy(EnumSet.allOf(Mechanism.class));
     }
 
-    /** All but some. */
+    /** A policy with all mechanisms enabled except the given ones. */
     public static Policy without(Collection<Mechanism> mechanisms) {
-        Set<Mechanism> rest = EnumSet.allOf(Mechanism.class);
-        rest.removeAll(mechanisms);
-        return new Policy(rest);
+        Set<Mechanism> enabled = EnumSet.allOf(Mechanism.class);
+        enabled.removeAll(mechanisms);
+        return new Policy(enabled);
     }
 
-    /** Whether a mechanism is in force. */
+    /** Whether a mechanism is enabled. */
     public boolean has(Mechanism mechanism) {
-        return inForce.contains(mechanism);
+        return enabled.contains(mechanism);
     }
 
     @Override
     public String toString() {
-        return inForce.toString();
+        return enabled.toString();
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/policy/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/policy/package-info.java
@@ -1,2 +1,2 @@
-/** Which rules are in force, as one value that is made at start. */
+/** Optional mechanisms of the scheduling policy, and the set of them that is enabled at start. */
 package org.quetzalshunt.core.policy;
--- a/core/src/test/java/org/quetzalshunt/core/policy/PolicyTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/policy/PolicyTest.java
@@ -12,7 +12,7 @@
 final class PolicyTest {
     @ParameterizedTest
     @EnumSource(Mechanism.class)
-    void mechanismIsSwitchedOffByItsFlagAlone(Mechanism mechanism) {
+    void flagDisablesItsMechanismAlone(Mechanism mechanism) {
         Mechanism named = Mechanism.ofFlag(mechanism.flag()).orElseThrow();
         Policy policy = Policy.without(List.of(named));
 
@@ -24,7 +24,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "PREFIX_AFFINITY", "prefix_affinity", "prefix-affinity ", "everything"})
-    void otherNamesNameNoMechanism(String flag) {
+    void unknownNameIsRejected(String flag) {
         assertThat(Mechanism.ofFlag(flag)).isEqualTo(Optional.empty());
     }
 
