--- a/core/src/main/java/org/quetzalshunt/core/quarantine/CrashTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/quarantine/CrashTable.java
@@ -6,65 +6,68 @@
 import java.util.Set;
 
 /**
- * Requests that were running where an endpoint crashed, by their fingerprint. One that did so three times is not run
- * again.
+ * Counts endpoint crashes by the fingerprint of the requests that were running at the time. A request that was running in
+ * three crashes is quarantined: it is not run again until the record of its crashes expires.
  *
- * <p>Guards against a request that crashes each endpoint that begins to run it, and that its caller sends again at any
- * VM: unguarded, it takes down one endpoint after the other. A request that merely ran where an endpoint died of something
- * else is told apart by the count, and by an answer: one that was ever answered since is innocent.
+ * <p>Guards against a request that crashes every endpoint that runs it and that its caller retries at any VM, which would
+ * take down one endpoint after another. A request that only happened to be running when an endpoint crashed for another
+ * reason is told apart by the count, and its record is removed as soon as an endpoint answers it.
  */
 public final class CrashTable {
-    /** Two crashes may be chance while endpoints die in a row; a third at the same request is not. */
+    /** Two crashes with the same request can be coincidence when several endpoints fail in a row; three are not. */
     public static final int CRASHES = 3;
 
-    /** How long a crash counts. Callers come back within seconds; an endpoint that was mended deserves a new try. */
+    /**
+     * How long a request's crashes are remembered after the last of them. Callers retry within seconds, and an endpoint that
+     * was repaired should be tried again.
+     */
     public static final long KEEP_MILLIS = 120_000;
 
-    private final Map<String, Row> rows = new HashMap<>();
+    private final Map<String, CrashRecord> records = new HashMap<>();
 
     private CrashTable() {}
 
-    /** An empty table. */
+    /** Creates an empty table. */
     public static CrashTable create() {
         return new CrashTable();
     }
 
     /**
-     * A crash became known, here or at another VM.
+     * Records a crash that this VM detected or another VM reported.
      *
-     * @param crash names the one crash, so that hearing of it twice counts once
+     * @param crash id of the crash; a crash that is reported more than once is counted once
      */
     public void crashed(long nowMillis, String fingerprint, String crash) {
-        Row row = rows.computeIfAbsent(fingerprint, ignored -> new Row());
-        row.crashes.add(crash);
-        row.untilMillis = nowMillis + KEEP_MILLIS;
+        CrashRecord record = records.computeIfAbsent(fingerprint, ignored -> new CrashRecord());
+        record.crashIds.add(crash);
+        record.expiresMillis = nowMillis + KEEP_MILLIS;
     }
 
-    /** The request was answered by an endpoint that lived. */
+    /** Removes the record of a request that an endpoint answered without crashing. */
     public void answered(String fingerprint) {
-        rows.remove(fingerprint);
+        records.remove(fingerprint);
     }
 
-    /** Whether the request must not run. */
+    /** Whether the request is quarantined and must not run. */
     public boolean quarantined(long nowMillis, String fingerprint) {
-        Row row = rows.get(fingerprint);
-        if (row == null) {
+        CrashRecord record = records.get(fingerprint);
+        if (record == null) {
             return false;
         }
-        if (row.untilMillis <= nowMillis) {
-            rows.remove(fingerprint);
+        if (record.expiresMillis <= nowMillis) {
+            records.remove(fingerprint);
             return false;
         }
-        return row.crashes.size() >= CRASHES;
+        return record.crashIds.size() >= CRASHES;
     }
 
-    /** Whether no crash is known, so that fingerprints need not be taken. */
+    /** Whether no crash is recorded, in which case callers need not compute fingerprints. */
     public boolean isEmpty() {
-        return rows.isEmpty();
+        return records.isEmpty();
     }
 
-    private static final class Row {
-        final Set<String> crashes = new HashSet<>();
-        long untilMillis;
+    private static final class CrashRecord {
+        final Set<String> crashIds = new HashSet<>();
+        long expiresMillis;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/quarantine/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Requests that end the endpoints which run them. */
+/** Quarantine of requests that crash the endpoints that run them. */
 package org.quetzalshunt.core.quarantine;
--- a/core/src/test/java/org/quetzalshunt/core/quarantine/CrashTableTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/quarantine/CrashTableTest.java
@@ -8,7 +8,7 @@
     private final CrashTable table = CrashTable.create();
 
     @Test
-    void thirdCrashQuarantines() {
+    void requestIsQuarantinedAfterTheThirdCrash() {
         table.crashed(0, "f", "a-1");
         table.crashed(0, "f", "b-1");
         assertThat(table.quarantined(1, "f")).isFalse();
@@ -18,16 +18,19 @@
     }
 
     @Test
-    void crashHeardOfTwiceCountsOnce() {
+    void crashReportedTwiceCountsOnce() {
         for (int time = 0; time < 5; time++) {
             table.crashed(time, "f", "a-1");
         }
         assertThat(table.quarantined(5, "f")).isFalse();
     }
 
-    /** Endpoints die in a row of something else, and lookups of one account run at each: they must go on being served. */
+    /**
+     * Several endpoints crash for an unrelated reason while they run the same request. Guards against quarantining a request
+     * that an endpoint has answered in between.
+     */
     @Test
-    void answeredRequestIsInnocent() {
+    void answeredRequestIsNotQuarantined() {
         table.crashed(0, "f", "a-1");
         table.crashed(0, "f", "a-2");
         table.answered("f");
@@ -36,7 +39,7 @@
     }
 
     @Test
-    void quarantineEnds() {
+    void quarantineExpires() {
         for (int crash = 0; crash < CrashTable.CRASHES; crash++) {
             table.crashed(0, "f", "a-" + crash);
         }
