--- a/core/src/main/java/org/quetzalshunt/core/result/Execution.java
+++ b/core/src/main/java/org/quetzalshunt/core/result/Execution.java
@@ -1,6 +1,6 @@
 package org.quetzalshunt.core.result;
 
-/** Whether a request ran. {@link #NOT_RUN} is said only where no later step can still run it. */
+/** Whether a request ran. {@link #NOT_RUN} guarantees that no later step runs it either. */
 public enum Execution {
     NOT_RUN(0, "not run"),
     RAN(1, "ran"),
@@ -14,17 +14,17 @@
         this.label = label;
     }
 
-    /** Number used between processes. */
+    /** Number on the wire between processes. */
     public int number() {
         return number;
     }
 
-    /** Text used in error bodies. */
+    /** Text in error bodies. */
     public String label() {
         return label;
     }
 
-    /** Reads a number sent by another process; an unknown number is {@link #UNKNOWN}, the safe reading. */
+    /** Decodes a number from the wire; an unrecognized number is {@link #UNKNOWN}, the safe interpretation. */
     public static Execution fromNumber(int number) {
         for (Execution execution : values()) {
             if (execution.number == number) {
--- a/core/src/main/java/org/quetzalshunt/core/result/Outcome.java
+++ b/core/src/main/java/org/quetzalshunt/core/result/Outcome.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 
 /**
- * A value or the refusal in its place.
+ * A result that is either a value or a refusal.
  *
  * @param <T> type of the value
  */
 public sealed interface Outcome<T> {
 
-    /** The value is there. */
+    /** A result with a value. */
     record Success<T>(T value) implements Outcome<T> {}
 
-    /** The value is not there, and why. */
+    /** A result without a value, and the refusal that says why. */
     record Failure<T>(Refusal refusal) implements Outcome<T> {}
 
     /** Wraps a value. */
--- a/core/src/main/java/org/quetzalshunt/core/result/ResultCode.java
+++ b/core/src/main/java/org/quetzalshunt/core/result/ResultCode.java
@@ -1,9 +1,9 @@
 package org.quetzalshunt.core.result;
 
 /**
- * Every outcome that leaves a process. Numbers are stable: a number is never reused.
- * 1xxx request refused for what it is, 2xxx refused for limits, 3xxx load, 4xxx outcome of a run,
- * 5xxx the platform, 6xxx operators, 7xxx settings and command line, 9xxx a broken promise.
+ * Codes of all results that are reported to callers, operators and other processes. Numbers are stable: a number is never
+ * reused. 1xxx invalid requests, 2xxx limits, 3xxx load, 4xxx outcomes of a run, 5xxx platform, 6xxx operator requests,
+ * 7xxx settings and command line, 9xxx internal errors and violated invariants.
  */
 public enum ResultCode {
     OK(0, 200, "the request was served"),
@@ -76,22 +76,22 @@
         this.meaning = meaning;
     }
 
-    /** Stable number. */
+    /** Stable number on the wire and in error bodies. */
     public int number() {
         return number;
     }
 
-    /** HTTP status that goes with the code. */
+    /** HTTP status of responses with this code. */
     public int status() {
         return status;
     }
 
-    /** One sentence for people. */
+    /** Explanation for people, as listed in docs/CODES.md. */
     public String meaning() {
         return meaning;
     }
 
-    /** Reads a number sent by another process; a number from a newer version is {@link #INTERNAL_ERROR}. */
+    /** Decodes a number from the wire; a number that only a newer version defines is {@link #INTERNAL_ERROR}. */
     public static ResultCode fromNumber(int number) {
         for (ResultCode code : values()) {
             if (code.number == number) {
--- a/core/src/main/java/org/quetzalshunt/core/result/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/result/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Numbered result codes: what a caller or an operator is told, whether the request ran, and what to do next.
- * The table in docs/CODES.md lists every code; a test keeps the two in step.
+ * Result codes and refusals reported to callers and operators: the reason, whether the request ran, and when to retry. The
+ * table in docs/CODES.md lists every code; a test checks that it matches.
  */
 package org.quetzalshunt.core.result;
--- a/core/src/test/java/org/quetzalshunt/core/result/ResultCodeTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/result/ResultCodeTest.java
@@ -10,7 +10,7 @@
 final class ResultCodeTest {
     @ParameterizedTest
     @EnumSource(ResultCode.class)
-    void numberFindsItsCode(ResultCode code) {
+    void numberIsDecodedToItsCode(ResultCode code) {
         assertThat(ResultCode.fromNumber(code.number())).isEqualTo(code);
     }
 
