--- a/core/src/main/java/org/quetzalshunt/core/route/AccountTerms.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/AccountTerms.java
@@ -3,16 +3,15 @@
 import java.util.Set;
 
 /**
- * What a client account may do.
+ * Priority, rate limit and allowed regions of a client account.
  *
- * @param name its name
- * @param priority goes before the route's priority; 0 is the most urgent, negative when the account has none
- * @param ratePerSecond requests a second over the whole fleet; 0 for no limit
- * @param burst requests that may come at once after a rest, over the whole fleet
- * @param allowedRegions regions in which its requests may run; empty for any
+ * @param priority takes precedence over the priority of the route; 0 is the most urgent, negative if the account has none
+ * @param ratePerSecond requests per second over the whole fleet; 0 for no limit
+ * @param burst requests that may arrive at once after an idle period, over the whole fleet
+ * @param allowedRegions regions in which the account's requests may run; empty for any
  */
 public record AccountTerms(String name, int priority, double ratePerSecond, double burst, Set<String> allowedRegions) {
-    /** Whether requests are counted against a rate. */
+    /** Whether the account has a rate limit. */
     public boolean limited() {
         return ratePerSecond > 0;
     }
--- a/core/src/main/java/org/quetzalshunt/core/route/CallerLimits.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/CallerLimits.java
@@ -1,10 +1,10 @@
 package org.quetzalshunt.core.route;
 
 /**
- * Bounds on what a caller may send.
+ * Limits on the requests and connections of callers.
  *
- * @param maximumHeaderBytes all headers of a request
- * @param maximumBodyBytes body of a request
- * @param idleTimeoutMillis how long a connection may rest between requests
+ * @param maximumHeaderBytes total size of the headers of a request
+ * @param maximumBodyBytes size of the body of a request
+ * @param idleTimeoutMillis how long a connection may be idle between requests
  */
 public record CallerLimits(int maximumHeaderBytes, int maximumBodyBytes, long idleTimeoutMillis) {}
--- a/core/src/main/java/org/quetzalshunt/core/route/EngineShape.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/EngineShape.java
@@ -1,10 +1,10 @@
 package org.quetzalshunt.core.route;
 
 /**
- * What the endpoints of a model service are like.
+ * Capacity and output granularity of the inference engine at each endpoint of a model service.
  *
- * @param slots requests that one generates for at once
- * @param cacheTokens tokens that its memory holds
- * @param tokensPerEvent tokens that one event of a stream stands for
+ * @param slots requests that one engine generates output for concurrently
+ * @param cacheTokens tokens that the prompt cache of one engine holds
+ * @param tokensPerEvent generated tokens in one event of a streamed response
  */
 public record EngineShape(int slots, long cacheTokens, int tokensPerEvent) {}
--- a/core/src/main/java/org/quetzalshunt/core/route/Route.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/Route.java
@@ -4,21 +4,21 @@
 import java.util.Set;
 
 /**
- * A class of requests, by host and path.
+ * Configuration of the requests with a given host and path prefix.
  *
- * @param name name, for logs
+ * @param name name in logs
  * @param host value of the Host header
  * @param pathPrefix begins and ends with a slash
- * @param kind what may be repeated
- * @param timeoutMillis longest time for which a request is kept
- * @param targetLatencyMillis time within which an answer is of full use
+ * @param kind whether a request may be sent again after an unknown outcome
+ * @param timeoutMillis maximum time from the arrival of a request to its answer
+ * @param targetLatencyMillis latency objective of an answer
  * @param priority 0 is the most urgent
- * @param targets services, with their weights
- * @param maximumAttempts endpoints that may run one request
- * @param stateful whether requests are turns whose history is kept here
- * @param retentionMillis how long a turn is kept
- * @param open whether requests need no key
- * @param allowedRegions regions in which its requests may run; empty for any
+ * @param targets services that requests are distributed to, with their weights
+ * @param maximumAttempts maximum number of endpoints that a request is sent to
+ * @param stateful whether requests are turns of programs whose history the system stores
+ * @param retentionMillis how long a stored turn is retained
+ * @param open whether requests are accepted without a key
+ * @param allowedRegions regions in which requests of the route may run; empty for any
  */
 public record Route(
         String name,
@@ -36,9 +36,9 @@
         Set<String> allowedRegions) {
 
     /**
-     * The service for a request, by weight.
+     * Picks the service for a request by the weights of the targets.
      *
-     * @param hash any number that is spread evenly over requests
+     * @param hash a number that is uniformly distributed over requests
      */
     public String serviceFor(long hash) {
         int total = targets.stream().mapToInt(RouteTarget::weight).sum();
--- a/core/src/main/java/org/quetzalshunt/core/route/RouteTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/RouteTable.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Finds the route of a request: among the routes of its host, the one with the longest prefix of its path. */
+/** Finds the route of a request by its host and the longest matching path prefix. */
 public final class RouteTable {
     private final Map<String, List<Route>> byHost;
     private final int size;
@@ -17,7 +17,7 @@
         this.size = size;
     }
 
-    /** Makes a table of some routes. */
+    /** Creates a table of the given routes. */
     public static RouteTable of(List<Route> routes) {
         Map<String, List<Route>> byHost = new HashMap<>();
         routes.forEach(route -> byHost.computeIfAbsent(route.host(), ignored -> new ArrayList<>())
@@ -28,7 +28,7 @@
         return new RouteTable(byHost, routes.size());
     }
 
-    /** The route of a request; empty when there is none. */
+    /** Finds the route of a request; empty if none matches. */
     public Optional<Route> find(String host, String path) {
         for (Route route : byHost.getOrDefault(host, List.of())) {
             if (path.startsWith(route.pathPrefix())) {
--- a/core/src/main/java/org/quetzalshunt/core/route/RouteTarget.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/RouteTarget.java
@@ -1,9 +1,9 @@
 package org.quetzalshunt.core.route;
 
 /**
- * A service that a route may send to.
+ * A service that a route distributes requests to.
  *
- * @param service its name
- * @param weight its share of the route's requests, against the other targets
+ * @param service name of the service
+ * @param weight share of the requests relative to the weights of the other targets
  */
 public record RouteTarget(String service, int weight) {}
--- a/core/src/main/java/org/quetzalshunt/core/route/ServiceEntry.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/ServiceEntry.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * A service as configured.
+ * Configuration of a service.
  *
- * @param name its name
- * @param maximumConnections connections that one of its endpoints takes from all VMs together
- * @param coldRequestsPerSecond requests a second that a cold endpoint of it bears from all VMs together; 0 for no bound
- * @param engine present for model services
+ * @param maximumConnections connections that one endpoint accepts from all VMs together
+ * @param coldRequestsPerSecond requests per second that an endpoint accepts from all VMs together while it is cold; 0 for no
+ *     limit
+ * @param engine engine parameters of a model service; empty for other services
  */
 public record ServiceEntry(
         String name, int maximumConnections, double coldRequestsPerSecond, Optional<EngineShape> engine) {}
--- a/core/src/main/java/org/quetzalshunt/core/route/TrafficConfiguration.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/TrafficConfiguration.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * One version of the configuration, swapped as a whole so that a request never sees two versions.
+ * Immutable snapshot of one version of the configuration. It is replaced as a whole, so that a request never sees parts of two
+ * versions.
  *
- * @param version number that only grows
- * @param routes routes
+ * @param version monotonically increasing version number
  * @param services services by name
- * @param accountsByKey client accounts by each of their keys; never logged
+ * @param accountsByKey client accounts by API key; never logged
  * @param accounts client accounts by name
- * @param limits bounds on callers
+ * @param limits limits on callers
  */
 public record TrafficConfiguration(
         long version,
@@ -21,17 +21,17 @@
         Map<String, AccountTerms> accounts,
         CallerLimits limits) {
 
-    /** Whether routes that are not open need a key. */
+    /** Whether a key is required on all routes that are not open: true if any account is configured. */
     public boolean keysRequired() {
         return !accounts.isEmpty();
     }
 
-    /** The client account of a key. */
+    /** Finds the client account of a key. */
     public Optional<AccountTerms> accountOf(String key) {
         return Optional.ofNullable(accountsByKey.get(key));
     }
 
-    /** Keys are left out, so that no log line or dump can hold one. */
+    /** Omits the accounts, so that keys cannot appear in logs or dumps. */
     @Override
     public String toString() {
         return "TrafficConfiguration[version=" + version + ", routes=" + routes.size() + ", accounts=" + accounts.size()
--- a/core/src/main/java/org/quetzalshunt/core/route/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/package-info.java
@@ -1,2 +1,2 @@
-/** What operators configured, as one immutable snapshot: routes, services, client accounts and bounds on callers. */
+/** Immutable snapshot of the operators' configuration: routes, services, client accounts and limits on callers. */
 package org.quetzalshunt.core.route;
--- a/core/src/test/java/org/quetzalshunt/core/route/RouteTableTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/route/RouteTableTest.java
@@ -33,12 +33,12 @@
         "j,/a/x,",
         "h,/a,"
     })
-    void longestPrefixOfTheHostWins(String host, String path, String expected) {
+    void routeWithTheLongestPrefixOfTheHostIsFound(String host, String path, String expected) {
         assertThat(table.find(host, path).map(Route::name).orElse(null)).isEqualTo(expected);
     }
 
     @Test
-    void targetsGetTheirWeights() {
+    void requestsAreDistributedByTargetWeight() {
         Route route = route("w", "h", "/", new RouteTarget("x", 90), new RouteTarget("y", 10), new RouteTarget("z", 0));
         Map<String, Integer> counts = new HashMap<>();
         for (long hash = -500; hash < 500; hash++) {
