--- a/core/src/main/java/org/quetzalshunt/core/store/AppendAnswer.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/AppendAnswer.java
@@ -1,16 +1,16 @@
 package org.quetzalshunt.core.store;
 
-/** What came of an append. */
+/** Result of an append to a shard. */
 public sealed interface AppendAnswer {
-    /** The records are kept; the shard now ends here. */
+    /** The records were stored; {@code end} is the new end of the shard. */
     record Appended(long end) implements AppendAnswer {}
 
-    /** Nothing was done, because the shard does not end where the append expected. */
+    /** Nothing was stored, because the shard ends at {@code end} and not where the append expected. */
     record Conflict(long end) implements AppendAnswer {}
 
-    /** Nothing was done. */
+    /** Nothing was stored. */
     record Refused(String reason) implements AppendAnswer {}
 
-    /** No answer: done, not done, or done later if its condition still holds then. */
+    /** No answer: the records may be stored already, later if the condition still holds then, or never. */
     record Unknown(String reason) implements AppendAnswer {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/store/ChangesAnswer.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/ChangesAnswer.java
@@ -2,17 +2,17 @@
 
 import java.util.List;
 
-/** What came of asking for the records of a shard after a number. */
+/** Result of a read of a shard's records from a given number on. */
 public sealed interface ChangesAnswer {
     /**
-     * The records in their order, possibly none.
+     * The records in the order of their numbers, possibly none.
      *
-     * @param next number to ask from next time
-     * @param end number that the next record of the shard gets; records from next to here were left out
+     * @param next number from which to continue reading
+     * @param end number of the next record to be appended; records from {@code next} up to it were omitted from this page
      */
     record Changes(List<MapEntry> entries, long next, long end) implements ChangesAnswer {}
 
-    /** Records in between are gone; the newest of each key must be read instead. */
+    /** Some of the requested records were compacted away; read the newest record of each key instead. */
     record Gone() implements ChangesAnswer {}
 
     /** The shard could not be read. */
--- a/core/src/main/java/org/quetzalshunt/core/store/MapName.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/MapName.java
@@ -2,16 +2,16 @@
 
 /** The maps that this system reads and writes. */
 public enum MapName {
-    /** Written by operators: the configuration. One shard. */
+    /** Configuration, written by operators. One shard. */
     CONFIGURATION,
-    /** Written by endpoints: where they are and how they are. One shard. */
+    /** Addresses and states of endpoints, written by the endpoints. One shard. */
     REGISTRATIONS,
-    /** Heartbeats of VMs, and requests that crashed endpoints. One shard. */
+    /** Heartbeats of VMs and reports of endpoint crashes. One shard. */
     FLEET,
-    /** One record an account and VM: the share of the account's quota that the VM holds, by the hash of the account. */
+    /** Share of an account's quota that a VM holds: one record per account and VM, sharded by account. */
     QUOTAS,
-    /** One record a turn, by the hash of its id. */
+    /** Completed turns: one record per turn, sharded by turn id. */
     TURNS,
-    /** One record a program and VM: the tokens that the VM may hand out, by the hash of the program's id. */
+    /** Tokens of a program's budget allotted to a VM: one record per program and VM, sharded by program id. */
     BUDGETS
 }
--- a/core/src/main/java/org/quetzalshunt/core/store/MapShard.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/MapShard.java
@@ -1,13 +1,13 @@
 package org.quetzalshunt.core.store;
 
 /**
- * A part of a map that has one order of records.
+ * A shard of a map. Records are totally ordered within a shard.
  *
  * @param map the map
- * @param number from 0
+ * @param number number of the shard, from 0
  */
 public record MapShard(MapName map, int number) {
-    /** The shard of a map with one shard. */
+    /** Returns the shard of a map that has only one. */
     public static MapShard only(MapName map) {
         return new MapShard(map, 0);
     }
--- a/core/src/main/java/org/quetzalshunt/core/store/RangeAnswer.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/RangeAnswer.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 
-/** What came of reading the newest records of a shard. */
+/** Result of a read of a shard's newest records in the order of their keys. */
 public sealed interface RangeAnswer {
     /**
-     * The newest record of each key behind the one asked for, in the order of keys.
+     * The newest record of each key after the requested one, in the order of keys.
      *
-     * @param more whether keys behind the last one were left out
-     * @param end number that the next record of the shard gets
+     * @param more whether there are further keys after the last one of this page
+     * @param end number of the next record to be appended to the shard
      */
     record Page(List<MapEntry> entries, boolean more, long end) implements RangeAnswer {}
 
--- a/core/src/main/java/org/quetzalshunt/core/store/ResponseTimeout.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/ResponseTimeout.java
@@ -1,49 +1,50 @@
 package org.quetzalshunt.core.store;
 
 /**
- * How long to wait for an answer before the call is made again.
+ * Adaptive timeout of calls to the shared map.
  *
- * <p>Load pattern: a map that loses some answers, and one that answers sixty times as slowly. A short limit serves the
- * first, since a lost answer costs its caller the whole limit; it would make every call of the second fail. So the limit
- * follows the answers seen, and doubles with each that does not come.
+ * <p>Load patterns: a store that loses some of its answers, and a store whose latency rises sixtyfold. The first needs a short
+ * timeout, since every lost answer costs its caller the whole timeout; with the second, a short timeout would fail every call.
+ * The timeout therefore follows a moving average of the latency, and doubles with every call that is not answered.
  */
 public final class ResponseTimeout {
-    /** Twenty times the usual answer, 7 ms for an append. */
-    private static final double LEAST_MILLIS = 150;
+    /** Twenty times the typical latency of an append, 7 ms. */
+    private static final double MINIMUM_MILLIS = 150;
 
-    /** Answers that take longer are of no use to callers who wait three seconds for a whole turn. */
-    private static final double MOST_MILLIS = 1_200;
+    /** Later answers are of no use to callers, who wait three seconds for a whole turn. */
+    private static final double MAXIMUM_MILLIS = 1_200;
 
-    /** Room above the average for answers that wait behind others. */
-    private static final double TIMES_AVERAGE = 5;
+    /** Multiple of the average latency that leaves room for calls that queue behind others. */
+    private static final double AVERAGE_MULTIPLE = 5;
 
-    /** Weight of the newest answer in the average: about the last ten count. */
-    private static final double WEIGHT = 0.1;
+    /** Weight of the newest latency in the moving average, which so covers about the last ten answers. */
+    private static final double SMOOTHING_FACTOR = 0.1;
 
     private double averageMillis;
-    private double limitMillis = LEAST_MILLIS;
+    private double timeoutMillis = MINIMUM_MILLIS;
 
     private ResponseTimeout() {}
 
-    /** A limit for a map not yet asked. */
+    /** Creates the timeout of a map that has not been called yet. */
     public static ResponseTimeout create() {
         return new ResponseTimeout();
     }
 
-    /** The limit for the next call, in milliseconds. */
+    /** Timeout of the next call, in milliseconds. */
     public long millis() {
-        return (long) limitMillis;
+        return (long) timeoutMillis;
     }
 
-    /** An answer came. */
-    public void answered(long tookMillis) {
-        averageMillis += WEIGHT * (tookMillis - averageMillis);
-        double wanted = Math.max(LEAST_MILLIS, TIMES_AVERAGE * Math.max(averageMillis, tookMillis / 2.0));
-        limitMillis = Math.min(MOST_MILLIS, wanted);
+    /** Records the latency of an answered call. */
+    public void answered(long latencyMillis) {
+        averageMillis += SMOOTHING_FACTOR * (latencyMillis - averageMillis);
+        double unboundedMillis =
+                Math.max(MINIMUM_MILLIS, AVERAGE_MULTIPLE * Math.max(averageMillis, latencyMillis / 2.0));
+        timeoutMillis = Math.min(MAXIMUM_MILLIS, unboundedMillis);
     }
 
-    /** No answer came within the limit, or the call failed. */
+    /** Records a call that timed out or failed. */
     public void unanswered() {
-        limitMillis = Math.min(MOST_MILLIS, 2 * limitMillis);
+        timeoutMillis = Math.min(MAXIMUM_MILLIS, 2 * timeoutMillis);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/store/SharedMap.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/SharedMap.java
@@ -5,36 +5,36 @@
 import java.util.function.Consumer;
 
 /**
- * The platform's shared map. Answers are linearizable; each call has a time limit of its own and answers exactly
- * once, on the caller's event loop.
+ * Client of the platform's shared map. Reads and appends are linearizable. Each call has its own timeout and calls its listener
+ * exactly once, on the caller's event loop.
  */
 public interface SharedMap {
     /**
-     * Reads the newest record of each key behind {@code after}, which need not exist.
+     * Reads the newest record of each key after {@code after}, which need not exist.
      *
-     * @param limitMillis time after which the call counts as unanswered
+     * @param timeoutMillis time after which the call is reported as unanswered
      */
-    void range(MapShard shard, String after, long limitMillis, Consumer<RangeAnswer> listener);
+    void range(MapShard shard, String after, long timeoutMillis, Consumer<RangeAnswer> listener);
 
     /**
-     * Appends records, all or none.
+     * Appends records atomically.
      *
-     * @param expectedEnd when present, the append is done only if the shard ends there at that moment
-     * @param limitMillis time after which the call counts as unanswered
+     * @param expectedEnd if present, the records are stored only if the shard ends there when they are appended
+     * @param timeoutMillis time after which the call is reported as unanswered
      */
     void append(
             MapShard shard,
             List<MapEntry> entries,
             OptionalLong expectedEnd,
-            long limitMillis,
+            long timeoutMillis,
             Consumer<AppendAnswer> listener);
 
     /**
-     * Reads records in their order.
+     * Reads records in the order in which they were appended.
      *
-     * @param from number of the first record wanted
-     * @param waitMillis longest time to wait for one; 0 answers at once
-     * @param limitMillis time after the wait at which the call counts as unanswered
+     * @param from number of the first record to read
+     * @param waitMillis maximum time to wait for a record (long poll); 0 to return at once
+     * @param timeoutMillis time after the wait at which the call is reported as unanswered
      */
-    void changes(MapShard shard, long from, long waitMillis, long limitMillis, Consumer<ChangesAnswer> listener);
+    void changes(MapShard shard, long from, long waitMillis, long timeoutMillis, Consumer<ChangesAnswer> listener);
 }
--- a/core/src/main/java/org/quetzalshunt/core/store/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/package-info.java
@@ -1,2 +1,2 @@
-/** The port to the platform's shared map: what it can do, and the shards that this system keeps there. */
+/** Interface to the platform's shared map, and the maps and shards that this system stores there. */
 package org.quetzalshunt.core.store;
