--- a/core/src/main/java/org/quetzalshunt/core/turn/TurnCache.java
+++ b/core/src/main/java/org/quetzalshunt/core/turn/TurnCache.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * Turns that this VM wrote or read, bounded in bytes; the least recently used go first. What is not here is read from
- * the shared map, so the bound costs reads, never history.
+ * Cache of turns that this VM wrote or read, bounded in bytes, with eviction of the least recently used. A turn that is not
+ * cached is read from the shared map, so evictions cost reads but lose no history.
  */
 public final class TurnCache {
     private final long maximumBytes;
@@ -17,15 +17,15 @@
         this.maximumBytes = maximumBytes;
     }
 
-    /** Makes an empty cache. */
+    /** Creates an empty cache. */
     public static TurnCache create(long maximumBytes) {
         return new TurnCache(maximumBytes);
     }
 
-    /** Keeps a record. */
+    /** Adds or replaces a record, and evicts others if the cache exceeds its size. */
     public void put(TurnRecord record) {
-        TurnRecord former = records.put(record.id(), record);
-        bytes += record.weight() - (former == null ? 0 : former.weight());
+        TurnRecord replaced = records.put(record.id(), record);
+        bytes += record.weight() - (replaced == null ? 0 : replaced.weight());
         while (bytes > maximumBytes && records.size() > 1) {
             Map.Entry<String, TurnRecord> eldest = records.entrySet().iterator().next();
             records.remove(eldest.getKey());
@@ -33,7 +33,7 @@
         }
     }
 
-    /** A record, if it is here and not expired. */
+    /** Finds a record that is cached and not expired. */
     public Optional<TurnRecord> find(String id, long wallMillis) {
         TurnRecord record = records.get(id);
         if (record == null || record.expiresMillis() < wallMillis) {
@@ -42,7 +42,7 @@
         return Optional.of(record);
     }
 
-    /** Bytes held. */
+    /** Size of all cached records in bytes. */
     public long bytes() {
         return bytes;
     }
--- a/core/src/main/java/org/quetzalshunt/core/turn/TurnDirectory.java
+++ b/core/src/main/java/org/quetzalshunt/core/turn/TurnDirectory.java
@@ -5,34 +5,34 @@
 import java.util.Optional;
 
 /**
- * Which VM ran a turn, for the turns that this VM is the directory of; bounded, the oldest go first. Each turn has one
- * directory by rendezvous hashing over the VMs, so that two VMs that see the same members find each other through it.
+ * Maps turns to the VMs that ran them, for the turns whose directory is this VM; bounded, with eviction of the oldest. Each
+ * turn has one directory VM, chosen by rendezvous hashing, so that VMs with the same view of the membership agree on it.
  */
 public final class TurnDirectory {
-    private static final int MOST_TURNS = 8_192;
+    private static final int MAXIMUM_TURNS = 8_192;
 
     private final LinkedHashMap<String, String> holders = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, String> eldest) {
-            return size() > MOST_TURNS;
+            return size() > MAXIMUM_TURNS;
         }
     };
 
     private TurnDirectory() {}
 
-    /** Makes an empty directory. */
+    /** Creates an empty directory. */
     public static TurnDirectory create() {
         return new TurnDirectory();
     }
 
-    /** A VM ran the turn and holds it. */
+    /** Records that a VM ran a turn and has it in its cache. */
     public void put(String turn, String vm) {
         holders.put(turn, vm);
     }
 
-    /** The VM that holds the turn. */
+    /** Finds the VM that has a turn in its cache. */
     public Optional<String> find(String turn) {
         return Optional.ofNullable(holders.get(turn));
     }
--- a/core/src/main/java/org/quetzalshunt/core/turn/TurnPrompt.java
+++ b/core/src/main/java/org/quetzalshunt/core/turn/TurnPrompt.java
@@ -2,11 +2,15 @@
 
 import java.util.List;
 
-/** Puts together what an endpoint reads for a turn: the inputs and outputs before it, oldest first, then its input. */
+/** Assembles the prompt of a turn: inputs and outputs of the previous turns, oldest first, then the input of the turn. */
 public final class TurnPrompt {
     private TurnPrompt() {}
 
-    /** The whole prompt. */
+    /**
+     * Assembles the whole prompt.
+     *
+     * @param chain the previous turns, oldest first
+     */
     public static byte[] assemble(List<TurnRecord> chain, byte[] input) {
         int length = input.length;
         for (TurnRecord turn : chain) {
@@ -22,8 +26,8 @@
         return prompt;
     }
 
-    private static int copy(byte[] from, byte[] to, int position) {
-        System.arraycopy(from, 0, to, position, from.length);
-        return position + from.length;
+    private static int copy(byte[] source, byte[] target, int position) {
+        System.arraycopy(source, 0, target, position, source.length);
+        return position + source.length;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/turn/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/turn/package-info.java
@@ -1,2 +1,2 @@
-/** Turns of programs as they are kept: one record a turn, chained by the id of the turn before. */
+/** Stored turns of programs: one record per turn, linked to the previous turns by their ids. */
 package org.quetzalshunt.core.turn;
--- a/core/src/test/java/org/quetzalshunt/core/turn/TurnTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/turn/TurnTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void promptIsTheChainOldestFirstAndThenTheInput() {
+    void promptIsThePreviousTurnsOldestFirstAndThenTheInput() {
         byte[] prompt =
                 TurnPrompt.assemble(List.of(turn("1", "a\n", "b\n", 9), turn("2", "c", "d\ne\n", 9)), bytes("f"));
         assertThat(new String(prompt, StandardCharsets.UTF_8)).isEqualTo("a\nb\ncd\ne\nf");
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void cacheStaysWithinItsBytesAndKeepsWhatIsUsed() {
+    void cacheStaysWithinItsSizeAndKeepsTheNewestRecord() {
         TurnCache cache = TurnCache.create(3_000);
         for (int number = 0; number < 40; number++) {
             cache.put(turn("t" + number, "x".repeat(500), "y", 100));
