--- a/core/src/main/java/org/quetzalshunt/core/vm/Vm.java
+++ b/core/src/main/java/org/quetzalshunt/core/vm/Vm.java
@@ -1,13 +1,13 @@
 package org.quetzalshunt.core.vm;
 
 /**
- * A VM as the platform's lagging list names it.
+ * A VM as listed by the platform. The list may lag behind the actual state.
  *
- * @param name name, unique in the list
- * @param role what runs on it
- * @param host IP number
+ * @param name unique name
+ * @param role role of the process on the VM
+ * @param host IP address
  * @param port TCP port of the protocol between processes
- * @param dataCentre where it is
+ * @param dataCentre data centre of the VM
  * @param service for a sidecar, the service of its endpoint; empty for an entry
  * @param leaving whether the platform is about to stop it
  */
--- a/core/src/main/java/org/quetzalshunt/core/vm/VmId.java
+++ b/core/src/main/java/org/quetzalshunt/core/vm/VmId.java
@@ -1,14 +1,14 @@
 package org.quetzalshunt.core.vm;
 
 /**
- * One life of one process. A VM that is replaced at the same address has another incarnation, and everything
- * addressed to the former one is void.
+ * Identifies one incarnation of a VM's process. A process that is restarted or replaced at the same address is a new
+ * incarnation, and messages addressed to an earlier one are discarded.
  *
- * @param name name from settings
- * @param incarnation start time in milliseconds since the epoch, raised above any former one seen
+ * @param name name of the VM in the settings
+ * @param incarnation start time in Unix milliseconds, or a higher number if an earlier incarnation had a later one
  */
 public record VmId(String name, long incarnation) {
-    /** Joins the two parts. */
+    /** Creates an id. */
     public static VmId of(String name, long incarnation) {
         return new VmId(name, incarnation);
     }
--- a/core/src/main/java/org/quetzalshunt/core/vm/VmRole.java
+++ b/core/src/main/java/org/quetzalshunt/core/vm/VmRole.java
@@ -1,6 +1,6 @@
 package org.quetzalshunt.core.vm;
 
-/** What a process of the system does. */
+/** Role of a process in the system. */
 public enum VmRole {
     ENTRY,
     SIDECAR
--- a/core/src/main/java/org/quetzalshunt/core/vm/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/vm/package-info.java
@@ -1,2 +1,2 @@
-/** Who a process is: its VM, its incarnation and its data centre. */
+/** Identity of a process: its VM, role, incarnation and data centre. */
 package org.quetzalshunt.core.vm;
