--- a/core/src/main/java/org/quetzalshunt/core/budget/ProgramAllotment.java
+++ b/core/src/main/java/org/quetzalshunt/core/budget/ProgramAllotment.java
@@ -3,18 +3,18 @@
 import java.util.OptionalLong;
 
 /**
- * Tracks one VM's allotment of a program's token budget. The VM records its allotment in the shared map and grants turns at
- * most that many tokens. Allotments are raised by conditional appends, which keep the sum over all VMs within the budget plus
- * the maximum of one turn. The whole allotment of a VM that has failed counts as spent.
+ * Tracks one VM's allotment of a program's token budget. The VM records its allotment in the shared map and grants
+ * turns at most that many tokens. Allotments are raised by conditional appends, which keep the sum over all VMs within
+ * the budget plus the maximum of one turn. The whole allotment of a VM that has failed counts as spent.
  *
- * <p>Load pattern: programs whose consecutive turns arrive at different VMs. A VM transfers its unused tokens to the VM of
- * the next turn over a link between the two, without access to the shared map, so an allotment covers several turns while
- * the budget is ample. If transfers are disabled, an allotment covers the next turn only: tokens left over at each VM could
- * not be used elsewhere, and a program well within its budget would be reported as exhausted.
+ * <p>Load pattern: programs whose consecutive turns arrive at different VMs. A VM transfers its unused tokens to the VM
+ * of the next turn over a link between the two, without access to the shared map, so an allotment covers several turns
+ * while the budget is ample. If transfers are disabled, an allotment covers the next turn only: tokens left over at
+ * each VM could not be used elsewhere, and a program well within its budget would be reported as exhausted.
  *
- * <p>An allotment is never lowered. An append of a lower value whose answer is lost could be applied after a later, higher
- * one, and the other VMs would then allot tokens that this VM still grants. Tokens are valid until the record that they come
- * from expires, also after a transfer to another VM.
+ * <p>An allotment is never lowered. An append of a lower value whose answer is lost could be applied after a later,
+ * higher one, and the other VMs would then allot tokens that this VM still grants. Tokens are valid until the record
+ * that they come from expires, also after a transfer to another VM.
  */
 public final class ProgramAllotment {
     /** Tokens transferred from one VM to another, and the time at which they expire, in Unix milliseconds. */
@@ -23,15 +23,17 @@
         public static final Transfer NONE = new Transfer(0, 0);
     }
 
-    /** Number of further turns that the budget must cover for a turn to be sent to an endpoint before its grant arrives. */
+    /**
+     * Number of further turns that the budget must cover for a turn to be sent to an endpoint before its grant arrives.
+     */
     private static final int HEADROOM_TURNS = 2;
 
     /** Number of further turns that the budget must cover for the tokens of a second turn to be allotted in advance. */
     private static final int ADVANCE_HEADROOM_TURNS = 8;
 
     /**
-     * With transfers, one raise requests a third of the remaining budget: two VMs may fail with such an allotment before the
-     * program runs short of tokens.
+     * With transfers, one raise requests a third of the remaining budget: two VMs may fail with such an allotment
+     * before the program runs short of tokens.
      */
     private static final int REMAINING_BUDGET_DIVISOR = 3;
 
@@ -72,8 +74,8 @@
     }
 
     /**
-     * Applies the total allotment of all VMs as reported by another VM. Records only grow while the program exists, so the
-     * total is a lower bound.
+     * Applies the total allotment of all VMs as reported by another VM. Records only grow while the program exists, so
+     * the total is a lower bound.
      */
     public void allottedAtLeast(long total) {
         others = Math.max(others, total - allotted);
@@ -94,14 +96,17 @@
         return available >= maximumTokens && availableUntilMillis >= untilMillis;
     }
 
-    /** Whether, by the records last read, the budget covers this turn and further ones, so that a grant is almost certain. */
+    /**
+     * Whether, by the records last read, the budget covers this turn and further ones, so that a grant is almost
+     * certain.
+     */
     public boolean hasHeadroom(long budget, long maximumTokens) {
         return known && remaining(budget) >= (1 + HEADROOM_TURNS) * maximumTokens;
     }
 
     /**
-     * Tokens granted to turns or transferred to other VMs, less the tokens received from other VMs; negative if more were
-     * received.
+     * Tokens granted to turns or transferred to other VMs, less the tokens received from other VMs; negative if more
+     * were received.
      */
     private long netUsed() {
         return allotted - available;
@@ -122,8 +127,8 @@
     }
 
     /**
-     * Discards received tokens that expire before a given time. Tokens of this VM's own record are kept, since a renewal of
-     * the record extends them.
+     * Discards received tokens that expire before a given time. Tokens of this VM's own record are kept, since a
+     * renewal of the record extends them.
      */
     public void expire(long untilMillis) {
         if (includesReceived && availableUntilMillis < untilMillis) {
@@ -153,7 +158,9 @@
         return ample && netUsed() > 0 ? 2 : 1;
     }
 
-    /** Applies a requested allotment that was stored in the shared map, valid until the given Unix time in milliseconds. */
+    /**
+     * Applies a requested allotment that was stored in the shared map, valid until the given Unix time in milliseconds.
+     */
     public void granted(long tokens, long untilMillis) {
         includesReceived = includesReceived && available > 0;
         availableUntilMillis = includesReceived ? Math.min(availableUntilMillis, untilMillis) : untilMillis;
--- a/core/src/main/java/org/quetzalshunt/core/policy/Mechanism.java
+++ b/core/src/main/java/org/quetzalshunt/core/policy/Mechanism.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * Parts of the scheduling policy that can be disabled one by one. The comment of each describes its effect and the behaviour
- * without it.
+ * Parts of the scheduling policy that can be disabled one by one. The comment of each describes its effect and the
+ * behaviour without it.
  */
 public enum Mechanism {
     /** Sends work to endpoints that have its prompt cached. Without it: to the least loaded endpoint. */
@@ -14,25 +14,27 @@
     /** Gateways announce which endpoints cache which prompts. Without it: each gateway knows its own turns only. */
     SHARED_PREFIX_LOCATIONS,
     /**
-     * Sends a prompt part that no endpoint is known to cache to an endpoint that all gateways choose alike by rendezvous
-     * hashing. Without it: to any endpoint.
+     * Sends a prompt part that no endpoint is known to cache to an endpoint that all gateways choose alike by
+     * rendezvous hashing. Without it: to any endpoint.
      */
     PREFIX_PLACEMENT,
     /**
-     * Compares two endpoints picked at random. Without it: all endpoints are compared, and all VMs pick the one that looks
-     * best at the same time.
+     * Compares two endpoints picked at random. Without it: all endpoints are compared, and all VMs pick the one that
+     * looks best at the same time.
      */
     TWO_CHOICES,
     /**
-     * Adds the prompts queued for prefill at an endpoint to its expected wait. Without it: a new, empty endpoint attracts all
-     * requests at once.
+     * Adds the prompts queued for prefill at an endpoint to its expected wait. Without it: a new, empty endpoint
+     * attracts all requests at once.
      */
     PREFILL_BACKLOG,
-    /** Estimates an endpoint's speed by its time per token. Without it: by the mean time of whole runs of any length. */
+    /**
+     * Estimates an endpoint's speed by its time per token. Without it: by the mean time of whole runs of any length.
+     */
     TOKEN_RATE,
     /**
-     * After an outage or a restart, a VM reads the heartbeats of its peers at short intervals until it holds its quota shares.
-     * Without it: once a second, as in steady state.
+     * After an outage or a restart, a VM reads the heartbeats of its peers at short intervals until it holds its quota
+     * shares. Without it: once a second, as in steady state.
      */
     FAST_RENEWAL,
     /** In an outage, requests wait for a part of their remaining time. Without it: they are refused at once. */
@@ -42,8 +44,8 @@
     /** First turns of programs beyond their account's rate get a longer retry-after time. Without it: the usual one. */
     PROGRAM_START_DELAY,
     /**
-     * The gateway that ran the previous turn sends its history and unused budget tokens to the next one. Without it: both are
-     * read from the store.
+     * The gateway that ran the previous turn sends its history and unused budget tokens to the next one. Without it:
+     * both are read from the store.
      */
     PEER_HISTORY,
     /** Gateways announce exhausted budgets. Without it: each finds out by itself, at the cost of one rate token. */
--- a/core/src/main/java/org/quetzalshunt/core/quarantine/CrashTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/quarantine/CrashTable.java
@@ -6,20 +6,20 @@
 import java.util.Set;
 
 /**
- * Counts endpoint crashes by the fingerprint of the requests that were running at the time. A request that was running in
- * three crashes is quarantined: it is not run again until the record of its crashes expires.
+ * Counts endpoint crashes by the fingerprint of the requests that were running at the time. A request that was running
+ * in three crashes is quarantined: it is not run again until the record of its crashes expires.
  *
- * <p>Guards against a request that crashes every endpoint that runs it and that its caller retries at any VM, which would
- * take down one endpoint after another. A request that only happened to be running when an endpoint crashed for another
- * reason is told apart by the count, and its record is removed as soon as an endpoint answers it.
+ * <p>Guards against a request that crashes every endpoint that runs it and that its caller retries at any VM, which
+ * would take down one endpoint after another. A request that only happened to be running when an endpoint crashed for
+ * another reason is told apart by the count, and its record is removed as soon as an endpoint answers it.
  */
 public final class CrashTable {
     /** Two crashes with the same request can be coincidence when several endpoints fail in a row; three are not. */
     public static final int CRASHES = 3;
 
     /**
-     * How long a request's crashes are remembered after the last of them. Callers retry within seconds, and an endpoint that
-     * was repaired should be tried again.
+     * How long a request's crashes are remembered after the last of them. Callers retry within seconds, and an endpoint
+     * that was repaired should be tried again.
      */
     public static final long KEEP_MILLIS = 120_000;
 
--- a/core/src/main/java/org/quetzalshunt/core/result/ResultCode.java
+++ b/core/src/main/java/org/quetzalshunt/core/result/ResultCode.java
@@ -1,9 +1,9 @@
 package org.quetzalshunt.core.result;
 
 /**
- * Codes of all results that are reported to callers, operators and other processes. Numbers are stable: a number is never
- * reused. 1xxx invalid requests, 2xxx limits, 3xxx load, 4xxx outcomes of a run, 5xxx platform, 6xxx operator requests,
- * 7xxx settings and command line, 9xxx internal errors and violated invariants.
+ * Codes of all results that are reported to callers, operators and other processes. Numbers are stable: a number is
+ * never reused. 1xxx invalid requests, 2xxx limits, 3xxx load, 4xxx outcomes of a run, 5xxx platform, 6xxx operator
+ * requests, 7xxx settings and command line, 9xxx internal errors and violated invariants.
  */
 public enum ResultCode {
     OK(0, 200, "the request was served"),
--- a/core/src/main/java/org/quetzalshunt/core/route/TrafficConfiguration.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/TrafficConfiguration.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * Immutable snapshot of one version of the configuration. It is replaced as a whole, so that a request never sees parts of two
- * versions.
+ * Immutable snapshot of one version of the configuration. It is replaced as a whole, so that a request never sees parts
+ * of two versions.
  *
  * @param version monotonically increasing version number
  * @param services services by name
--- a/core/src/main/java/org/quetzalshunt/core/store/ChangesAnswer.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/ChangesAnswer.java
@@ -8,7 +8,8 @@
      * The records in the order of their numbers, possibly none.
      *
      * @param next number from which to continue reading
-     * @param end number of the next record to be appended; records from {@code next} up to it were omitted from this page
+     * @param end number of the next record to be appended; records from {@code next} up to it were omitted from this
+     *     page
      */
     record Changes(List<MapEntry> entries, long next, long end) implements ChangesAnswer {}
 
--- a/core/src/main/java/org/quetzalshunt/core/store/ResponseTimeout.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/ResponseTimeout.java
@@ -3,9 +3,10 @@
 /**
  * Adaptive timeout of calls to the shared map.
  *
- * <p>Load patterns: a store that loses some of its answers, and a store whose latency rises sixtyfold. The first needs a short
- * timeout, since every lost answer costs its caller the whole timeout; with the second, a short timeout would fail every call.
- * The timeout therefore follows a moving average of the latency, and doubles with every call that is not answered.
+ * <p>Load patterns: a store that loses some of its answers, and a store whose latency rises sixtyfold. The first needs
+ * a short timeout, since every lost answer costs its caller the whole timeout; with the second, a short timeout would
+ * fail every call. The timeout therefore follows a moving average of the latency, and doubles with every call that is
+ * not answered.
  */
 public final class ResponseTimeout {
     /** Twenty times the typical latency of an append, 7 ms. */
--- a/core/src/main/java/org/quetzalshunt/core/store/SharedMap.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/SharedMap.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * Client of the platform's shared map. Reads and appends are linearizable. Each call has its own timeout and calls its listener
- * exactly once, on the caller's event loop.
+ * Client of the platform's shared map. Reads and appends are linearizable. Each call has its own timeout and calls its
+ * listener exactly once, on the caller's event loop.
  */
 public interface SharedMap {
     /**
--- a/core/src/main/java/org/quetzalshunt/core/turn/TurnCache.java
+++ b/core/src/main/java/org/quetzalshunt/core/turn/TurnCache.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * Cache of turns that this VM wrote or read, bounded in bytes, with eviction of the least recently used. A turn that is not
- * cached is read from the shared map, so evictions cost reads but lose no history.
+ * Cache of turns that this VM wrote or read, bounded in bytes, with eviction of the least recently used. A turn that is
+ * not cached is read from the shared map, so evictions cost reads but lose no history.
  */
 public final class TurnCache {
     private final long maximumBytes;
--- a/core/src/main/java/org/quetzalshunt/core/turn/TurnDirectory.java
+++ b/core/src/main/java/org/quetzalshunt/core/turn/TurnDirectory.java
@@ -5,8 +5,9 @@
 import java.util.Optional;
 
 /**
- * Maps turns to the VMs that ran them, for the turns whose directory is this VM; bounded, with eviction of the oldest. Each
- * turn has one directory VM, chosen by rendezvous hashing, so that VMs with the same view of the membership agree on it.
+ * Maps turns to the VMs that ran them, for the turns whose directory is this VM; bounded, with eviction of the oldest.
+ * Each turn has one directory VM, chosen by rendezvous hashing, so that VMs with the same view of the membership agree
+ * on it.
  */
 public final class TurnDirectory {
     private static final int MAXIMUM_TURNS = 8_192;
--- a/core/src/main/java/org/quetzalshunt/core/turn/TurnPrompt.java
+++ b/core/src/main/java/org/quetzalshunt/core/turn/TurnPrompt.java
@@ -2,7 +2,9 @@
 
 import java.util.List;
 
-/** Assembles the prompt of a turn: inputs and outputs of the previous turns, oldest first, then the input of the turn. */
+/**
+ * Assembles the prompt of a turn: inputs and outputs of the previous turns, oldest first, then the input of the turn.
+ */
 public final class TurnPrompt {
     private TurnPrompt() {}
 
--- a/core/src/test/java/org/quetzalshunt/core/budget/ProgramAllotmentTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/budget/ProgramAllotmentTest.java
@@ -20,8 +20,8 @@
     private static final boolean TRANSFERABLE = true;
 
     /**
-     * Nine turns of a program arrive at nine different VMs, and its budget covers the maximum of all of them. When every VM
-     * kept a spare allotment, the program was refused after four turns.
+     * Nine turns of a program arrive at nine different VMs, and its budget covers the maximum of all of them. When
+     * every VM kept a spare allotment, the program was refused after four turns.
      */
     @Test
     void everyTurnThatTheBudgetCoversIsGrantedAcrossManyVms() {
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Nine turns of a program arrive at nine different VMs, each of which transfers its unused tokens to the next. Each turn
-     * generates a quarter of its maximum. Guards against a raise for more than about every third turn, and against refusing
-     * a turn that the budget covers.
+     * Nine turns of a program arrive at nine different VMs, each of which transfers its unused tokens to the next. Each
+     * turn generates a quarter of its maximum. Guards against a raise for more than about every third turn, and against
+     * refusing a turn that the budget covers.
      */
     @Test
     void transfersAvoidMostAppendsAcrossManyVms() {
@@ -145,8 +145,8 @@
 
     /**
      * A looping program starts turns at several VMs concurrently. VMs crash and restart as new incarnations, while the
-     * allotments of the old ones stay in the map. The tokens granted must never exceed the budget plus the maximum of one
-     * turn.
+     * allotments of the old ones stay in the map. The tokens granted must never exceed the budget plus the maximum of
+     * one turn.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
--- a/core/src/test/java/org/quetzalshunt/core/quarantine/CrashTableTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/quarantine/CrashTableTest.java
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Several endpoints crash for an unrelated reason while they run the same request. Guards against quarantining a request
-     * that an endpoint has answered in between.
+     * Several endpoints crash for an unrelated reason while they run the same request. Guards against quarantining a
+     * request that an endpoint has answered in between.
      */
     @Test
     void answeredRequestIsNotQuarantined() {
--- a/core/src/test/java/org/quetzalshunt/core/store/ResponseTimeoutTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/store/ResponseTimeoutTest.java
@@ -21,7 +21,9 @@
         assertThat(timeout.millis()).isEqualTo(150);
     }
 
-    /** Guards against calls that always time out at a slow store. It answers after 240 ms, the first timeout is 150 ms. */
+    /**
+     * Guards against calls that always time out at a slow store. It answers after 240 ms, the first timeout is 150 ms.
+     */
     @Test
     void timeoutAdaptsToASlowStore() {
         ResponseTimeout timeout = ResponseTimeout.create();
