--- a/core/src/test/java/org/quetzalshunt/core/store/ResponseTimeoutTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/store/ResponseTimeoutTest.java
@@ -8,17 +8,17 @@
     /** Guards against a timeout that stays high after lost answers. The store loses a third of all answers. */
     @Test
     void timeoutRecoversAfterLostAnswers() {
-        ResponseTimeout timeout = ResponseTimeout.create();
+        ResponseTimeout limit = ResponseTimeout.create();
         for (int call = 0; call < 30; call++) {
             if (call % 3 == 0) {
-                timeout.unanswered();
+                limit.unanswered();
             } else {
-                timeout.answered(7);
+                limit.answered(7);
             }
-            assertThat(timeout.millis()).isAtMost(600);
+            assertThat(limit.millis()).isAtMost(600);
         }
-        timeout.answered(7);
-        assertThat(timeout.millis()).isEqualTo(150);
+        limit.answered(7);
+        assertThat(limit.millis()).isEqualTo(150);
     }
 
     /**
@@ -26,21 +26,21 @@
      */
     @Test
     void timeoutAdaptsToASlowStore() {
-        ResponseTimeout timeout = ResponseTimeout.create();
-        timeout.unanswered();
-        assertThat(timeout.millis()).isGreaterThan(240);
+        ResponseTimeout limit = ResponseTimeout.create();
+        limit.unanswered();
+        assertThat(limit.millis()).isGreaterThan(240);
         for (int call = 0; call < 20; call++) {
-            timeout.answered(240);
-            assertThat(timeout.millis()).isGreaterThan(240);
+            limit.answered(240);
+            assertThat(limit.millis()).isGreaterThan(240);
         }
     }
 
     @Test
     void timeoutIsBounded() {
-        ResponseTimeout timeout = ResponseTimeout.create();
+        ResponseTimeout limit = ResponseTimeout.create();
         for (int call = 0; call < 20; call++) {
-            timeout.unanswered();
+            limit.unanswered();
         }
-        assertThat(timeout.millis()).isEqualTo(1_200);
+        assertThat(limit.millis()).isEqualTo(1_200);
     }
 }
