--- a/core/src/main/java/org/quetzalshunt/core/quarantine/CrashTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/quarantine/CrashTable.java
@@ -15,7 +15,7 @@
  */
 public final class CrashTable {
     /** Two crashes with the same request can be coincidence when several endpoints fail in a row; three are not. */
-    public static final int CRASHES = 3;
+    public static final int QUARANTINE_CRASHES = 3;
 
     /**
      * How long a request's crashes are remembered after the last of them. Callers retry within seconds, and an endpoint
@@ -58,7 +58,7 @@
             entries.remove(fingerprint);
             return false;
         }
-        return entry.crashIds.size() >= CRASHES;
+        return entry.crashIds.size() >= QUARANTINE_CRASHES;
     }
 
     /** Whether no crash is recorded, in which case callers need not compute fingerprints. */
--- a/core/src/test/java/org/quetzalshunt/core/quarantine/CrashTableTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/quarantine/CrashTableTest.java
@@ -40,7 +40,7 @@
 
     @Test
     void quarantineExpires() {
-        for (int crash = 0; crash < CrashTable.CRASHES; crash++) {
+        for (int crash = 0; crash < CrashTable.QUARANTINE_CRASHES; crash++) {
             table.crashed(0, "f", "a-" + crash);
         }
         assertThat(table.quarantined(CrashTable.KEEP_MILLIS, "f")).isFalse();
