--- a/core/src/test/java/org/quetzalshunt/core/store/AnswerLimitTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/store/ResponseTimeoutTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-final class AnswerLimitTest {
-    /** A map that loses a third of its answers: the limit comes back down with the next answer. */
+final class ResponseTimeoutTest {
+    /** Guards against a timeout that stays high after lost answers. The store loses a third of all answers. */
     @Test
-    void lostAnswersCostLittle() {
+    void timeoutRecoversAfterLostAnswers() {
         ResponseTimeout limit = ResponseTimeout.create();
         for (int call = 0; call < 30; call++) {
             if (call % 3 == 0) {
@@ -21,9 +21,11 @@
         assertThat(limit.millis()).isEqualTo(150);
     }
 
-    /** A map that answers after 240 ms: two calls fail, and from then on each is waited for. */
+    /**
+     * Guards against calls that always time out at a slow store. It answers after 240 ms, the first timeout is 150 ms.
+     */
     @Test
-    void slowMapIsWaitedFor() {
+    void timeoutAdaptsToASlowStore() {
         ResponseTimeout limit = ResponseTimeout.create();
         limit.unanswered();
         assertThat(limit.millis()).isGreaterThan(240);
@@ -34,7 +36,7 @@
     }
 
     @Test
-    void limitIsBounded() {
+    void timeoutIsBounded() {
         ResponseTimeout limit = ResponseTimeout.create();
         for (int call = 0; call < 20; call++) {
             limit.unanswered();
