--- a/core/src/main/java/org/quetzalshunt/core/program/Admission.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/Admission.java
@@ -2,18 +2,18 @@
 
 import org.quetzalshunt.core.result.Refusal;
 
-/** What becomes of a request at the owner of its shard. */
+/** The decision of a shard's owner on a request. */
 public sealed interface Admission {
 
-    /** It waits for its turn; the listener hears when it starts or is refused. */
+    /** The request is queued or started; {@link ShardListener} reports its start or refusal. */
     record Accepted() implements Admission {}
 
-    /** It ran before; this is its answer. */
+    /** The request was completed before; this is its stored answer. */
     record Replay(String requestId, StoredAnswer answer) implements Admission {}
 
-    /** It is running under another request id, whose end answers this one too. */
+    /** The same request is queued or running under another request id, whose result also answers this one. */
     record Attach(String requestId) implements Admission {}
 
-    /** It does not run. */
+    /** The request is not run. */
     record Refused(Refusal refusal) implements Admission {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/program/CallSystem.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/CallCoordinator.java
@@ -8,10 +8,11 @@
 import org.quetzalshunt.core.result.ResultCode;
 
 /**
- * Calls that must run at most once: a call starts only after its intent was folded as valid, so whoever owns the shard
- * later sees either the intent (it may have run and is never run again) or none (it can't start any more).
+ * Executes calls of a shard that must run at most once. A call starts only after its intent record was applied as
+ * valid. A later owner of the shard that finds an intent without an outcome never runs the call again, since it may
+ * have run. If it finds no intent, the call did not run and can no longer start at the former owner.
  */
-final class CallSystem {
+final class CallCoordinator {
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final Supplier<ShardState> state;
@@ -19,7 +20,7 @@
     private final ShardListener listener;
     private final CallTable calls = new CallTable();
 
-    CallSystem(
+    CallCoordinator(
             Supplier<ShardState> state, BiConsumer<ShardRecord, Consumer<Boolean>> submitter, ShardListener listener) {
         this.state = state;
         this.submitter = submitter;
@@ -41,7 +42,7 @@
         }
         Optional<StoredResult> result = state.get().results().find(call.clientAccount(), call.idempotencyKey());
         if (result.isPresent()) {
-            return Calls.knownResult(result.get(), call.digest());
+            return IdempotencyCheck.againstStoredResult(result.get(), call.digest());
         }
         calls.add(call);
         ShardRecord.CallIntent intent = new ShardRecord.CallIntent(
@@ -75,13 +76,14 @@
         calls.remove(call);
         listener.onRefused(
                 call.requestId(),
-                Refusal.notRunRetryAfter(ResultCode.NOT_OWNER, "the call's intent was not kept", RETRY_AFTER_MILLIS));
+                Refusal.notRunRetryAfter(
+                        ResultCode.NOT_OWNER, "the intent record of the call was not accepted", RETRY_AFTER_MILLIS));
     }
 
     /**
-     * Gives up a call whose intent is not folded yet. It certainly does not run: its intent, should it still come, is
-     * taken back, so that a re-send may run. Without it a caller in an outage of the log would wait for the log's return
-     * in place of an answer at its deadline.
+     * Cancels a call whose intent has not been applied yet; it will not run. If the intent is applied later, it is
+     * revoked by an end record, so that a repeated request may run. This lets a caller get its answer at its deadline
+     * during an outage of the log.
      */
     void withdraw(CallRequest call) {
         calls.remove(call);
--- a/core/src/main/java/org/quetzalshunt/core/program/CallTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/CallTable.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.agrona.collections.Object2ObjectHashMap;
 
-/** Calls under way at the owner, by client account and idempotency key. */
+/** Calls that wait for their intent or run at the owner, by client account and idempotency key. */
 final class CallTable {
     private final Map<String, CallRequest> calls = new Object2ObjectHashMap<>();
 
@@ -23,8 +23,8 @@
     }
 
     boolean contains(CallRequest call) {
-        CallRequest found = calls.get(key(call));
-        return found != null && found.requestId().equals(call.requestId());
+        CallRequest active = calls.get(key(call));
+        return active != null && active.requestId().equals(call.requestId());
     }
 
     void clear() {
@@ -33,7 +33,8 @@
 
     Optional<Admission> find(CallRequest call) {
         return Optional.ofNullable(calls.get(key(call)))
-                .map(running -> Calls.sameRequest(running.requestId(), running.digest(), call.digest()));
+                .map(active ->
+                        IdempotencyCheck.againstActiveRequest(active.requestId(), active.digest(), call.digest()));
     }
 
     private static String key(CallRequest call) {
--- a/core/src/main/java/org/quetzalshunt/core/program/History.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/History.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The messages of one program in order, with a hash chain over them: each link is SHA-256 of the link before and the
- * message, so that a prefix can be compared without comparing its text.
+ * The messages of one program in order, with a hash chain over them. Each link is the SHA-256 of the previous link and
+ * the message, so that one hash identifies the whole history.
  */
 final class History {
     private static final byte[] EMPTY = new byte[32];
@@ -21,8 +21,8 @@
         bytes += message.length;
     }
 
-    /** Gives the messages of a program that has ended back; its results are kept elsewhere. */
-    void forget() {
+    /** Frees the messages of an ended program; its results are kept in {@link ResultTable}. */
+    void clear() {
         messages.clear();
         hash = EMPTY;
         bytes = 0;
@@ -44,7 +44,7 @@
         return messages;
     }
 
-    /** Whether the list begins with this whole history. */
+    /** Whether this whole history is a prefix of the list. */
     boolean isPrefixOf(List<byte[]> list) {
         if (list.size() < messages.size()) {
             return false;
@@ -56,7 +56,7 @@
         return Arrays.equals(chain, hash);
     }
 
-    /** Whether the list starts with the same first message, as a whole history would. */
+    /** Whether the list has the same first message, which suggests that it includes the history. */
     boolean sharesFirstMessage(List<byte[]> list) {
         return !messages.isEmpty() && !list.isEmpty() && Arrays.equals(messages.get(0), list.get(0));
     }
--- /dev/null
+++ b/core/src/main/java/org/quetzalshunt/core/program/IdempotencyCheck.java
@@ -0,0 +1,43 @@
+package org.quetzalshunt.core.program;
+
+import java.util.Arrays;
+import org.quetzalshunt.core.result.Execution;
+import org.quetzalshunt.core.result.Refusal;
+import org.quetzalshunt.core.result.ResultCode;
+
+/** Decides how a request is answered whose idempotency key was used before. */
+final class IdempotencyCheck {
+    private IdempotencyCheck() {}
+
+    /**
+     * Answers a request whose key has a stored result. A completed request is answered from the result. A request with
+     * a recorded intent but no outcome may have run, so it is refused with an unknown outcome and never run again.
+     */
+    static Admission againstStoredResult(StoredResult result, byte[] digest) {
+        if (!Arrays.equals(result.requestDigest(), digest)) {
+            return keyReused();
+        }
+        if (!result.ended()) {
+            return new Admission.Refused(Refusal.after(
+                    ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, "request " + result.requestId() + " may have run"));
+        }
+        if (result.resultCode() != ResultCode.OK.number()) {
+            return new Admission.Refused(Refusal.after(
+                    ResultCode.fromNumber(result.resultCode()),
+                    Execution.UNKNOWN,
+                    "this is the recorded outcome of an earlier request with the same idempotency key"));
+        }
+        return new Admission.Replay(result.requestId(), result.answer());
+    }
+
+    /** Attaches a repeated request to the one with the same key that is queued or running. */
+    static Admission againstActiveRequest(String requestId, byte[] runningDigest, byte[] digest) {
+        return Arrays.equals(runningDigest, digest) ? new Admission.Attach(requestId) : keyReused();
+    }
+
+    private static Admission keyReused() {
+        return new Admission.Refused(Refusal.notRun(
+                ResultCode.IDEMPOTENCY_KEY_REUSED,
+                "the idempotency key was used before with another method, path, service or body"));
+    }
+}
--- a/core/src/main/java/org/quetzalshunt/core/program/MessageList.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/MessageList.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import org.agrona.concurrent.UnsafeBuffer;
 
-/** A list of messages as one array of octets: each message behind its length in four octets. */
+/** Encodes a list of messages as one byte array, in which each message follows its length in four bytes. */
 public final class MessageList {
     private MessageList() {}
 
-    /** Joins messages. */
+    /** Encodes messages. */
     public static byte[] join(List<byte[]> messages) {
         int length = messages.stream()
                 .mapToInt(message -> Integer.BYTES + message.length)
@@ -24,7 +24,7 @@
         return joined;
     }
 
-    /** Splits what {@link #join} made; a damaged tail is left out. */
+    /** Decodes the output of {@link #join}; stops at the first message that is truncated or has an invalid length. */
     public static List<byte[]> split(byte[] joined) {
         List<byte[]> messages = new ArrayList<>();
         UnsafeBuffer buffer = new UnsafeBuffer(joined);
--- a/core/src/main/java/org/quetzalshunt/core/program/MessageMode.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/MessageMode.java
@@ -1,11 +1,14 @@
 package org.quetzalshunt.core.program;
 
-/** What the messages of a request are. */
+/** Whether the messages of a request include the program's history. */
 public enum MessageMode {
-    /** The whole history and what is new. */
+    /** The messages are the whole history followed by new messages. */
     ALL,
-    /** Only what is new. */
+    /** The messages are new messages only. */
     NEW,
-    /** All when they extend the history, a mismatch when they start like it, otherwise new. */
+    /**
+     * Detected: {@link #ALL} if the messages extend the history, a mismatch if they are longer than the history and
+     * only share its first message, otherwise {@link #NEW}.
+     */
     AUTOMATIC
 }
--- a/core/src/main/java/org/quetzalshunt/core/program/Program.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/Program.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 
-/** Entity: one program as folded from the stream. */
+/** The state of one program: a conversation with a history and a token budget. Built from the records of the stream. */
 final class Program {
     final String id;
     final String clientAccount;
@@ -11,25 +11,25 @@
     final long budgetTokens;
     final long createdMillis;
     final boolean implicitProgram;
-    final String createdBy;
+    final String createdByRequestId;
     final History history = new History();
     int turns;
-    /** Request whose turn was the last to end. */
+    /** Request of the last completed turn. */
     String lastRequestId = "";
-    /** Request whose turn came to its end after the program's, and was charged once all the same. */
-    String chargedAfterEnd = "";
+    /** Request whose turn completed after the program had ended; remembered so that it is charged only once. */
+    String lateChargedRequestId = "";
 
     long contextTokens;
-    /** Spending of this program and, for a root, of its whole tree. */
+    /** Tokens spent by this program and, for a root, by its sub-agents. */
     long spentTokens;
-    /** What the next turn may cost at most by what the stream says; counted as spent after a crash of the owner. */
-    long recordedReservation;
+    /** Recorded upper bound on the cost of the next turn; counted as spent when the owner crashes. */
+    long recordedReservationTokens;
 
     long lastActiveMillis;
     OptionalInt endedCode = OptionalInt.empty();
     long endedMillis;
-    /** Reservations of turns that run now; kept by the owner only. */
-    long liveReservations;
+    /** Reservations of running turns; known to the owner only, not recorded. */
+    long activeReservationTokens;
 
     Program(ShardRecord.ProgramCreated created) {
         this.id = created.program();
@@ -38,8 +38,8 @@
         this.budgetTokens = created.budgetTokens();
         this.createdMillis = created.createdMillis();
         this.implicitProgram = created.implicitProgram();
-        this.createdBy = created.requestId();
-        this.recordedReservation = created.reservationTokens();
+        this.createdByRequestId = created.requestId();
+        this.recordedReservationTokens = created.reservationTokens();
         this.lastActiveMillis = created.createdMillis();
     }
 
--- a/core/src/main/java/org/quetzalshunt/core/program/ProgramView.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ProgramView.java
@@ -4,18 +4,18 @@
 import java.util.OptionalInt;
 
 /**
- * What may be told of a program: never its content.
+ * The data of a program that may be shown outside the shard. Never contains messages.
  *
- * @param id id
- * @param clientAccount whose it is
- * @param parent program that made it
- * @param budgetTokens budget; for a sub-agent its own cap below its root's budget
- * @param spentTokens spending, for a root with its sub-agents
- * @param turns turns that ended
- * @param queued turns that wait
- * @param running whether a turn runs
- * @param endedCode result code of its end
- * @param lastActiveMillis time of its last record
+ * @param id id of the program
+ * @param clientAccount client account that owns the program
+ * @param parent program that created this one as a sub-agent
+ * @param budgetTokens token budget; for a sub-agent, a limit of its own within its root's budget
+ * @param spentTokens tokens spent; for a root, including its sub-agents
+ * @param turns completed turns
+ * @param queued waiting turns
+ * @param running whether a turn is running
+ * @param endedCode number of the result code with which the program ended; empty if it has not
+ * @param lastActiveMillis timestamp of the last creation, turn end or program end
  */
 public record ProgramView(
         String id,
--- a/core/src/main/java/org/quetzalshunt/core/program/RecordSubmitter.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/RecordSubmitter.java
@@ -4,9 +4,11 @@
 @FunctionalInterface
 public interface RecordSubmitter {
     /**
-     * Submits a record; the callback runs once, after the fold passed the record, or when it was given up.
+     * Submits a record. The callback runs exactly once: after the fold has applied the record, or when the submission
+     * has failed.
      *
-     * @param whenFolded true when the record is in the stream, valid or void; false when it was never taken
+     * @param whenFolded called with true when the record is in the stream, valid or void, and with false when it was
+     *     rejected or its outcome is unknown
      */
     void submit(byte[] record, java.util.function.Consumer<Boolean> whenFolded);
 }
--- a/core/src/main/java/org/quetzalshunt/core/program/RecordTimes.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/RecordTimes.java
@@ -1,10 +1,10 @@
 package org.quetzalshunt.core.program;
 
-/** The time that a record names, by the clock of the process that wrote it. */
+/** Reads the timestamp of a record, which was set by the clock of the process that wrote it. */
 final class RecordTimes {
     private RecordTimes() {}
 
-    /** Time in milliseconds since the epoch; 0 for a record that names none. */
+    /** Timestamp in milliseconds since the Unix epoch; 0 for a record type without one. */
     static long of(ShardRecord record) {
         if (record instanceof ShardRecord.ProgramCreated created) {
             return created.createdMillis();
--- a/core/src/main/java/org/quetzalshunt/core/program/ResultTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ResultTable.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.agrona.collections.Object2ObjectHashMap;
 
-/** Table of results by client account and idempotency key. Keys of two accounts never meet. */
+/** Stored results by client account and idempotency key. Equal keys of different accounts do not collide. */
 final class ResultTable {
     private final Map<String, Map<String, StoredResult>> accounts = new Object2ObjectHashMap<>();
 
@@ -25,8 +25,8 @@
         }
     }
 
-    void forgetBefore(long millis) {
-        accounts.values().forEach(results -> results.values().removeIf(result -> result.millis() < millis));
+    void removeBefore(long millis) {
+        accounts.values().forEach(results -> results.values().removeIf(result -> result.recordedMillis() < millis));
         accounts.values().removeIf(Map::isEmpty);
     }
 
--- a/core/src/main/java/org/quetzalshunt/core/program/Shard.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/Shard.java
@@ -17,14 +17,15 @@
 import org.quetzalshunt.core.vm.VmId;
 
 /**
- * One shard at one entry: the fold of its stream, and at its owner the turns and calls under way.
+ * One shard in one entry process: the state built from the shard's stream and, if the process is the owner, the queued
+ * and running turns and calls.
  *
- * <p>Nothing is told as done before its record is folded as valid. What a former owner submits after its epoch ended
- * folds as void, and its callers hear that the outcome is unknown.
+ * <p>Success is reported only after the record has been applied as valid. Records that a former owner submits after its
+ * epoch ended are void, and their callers are told that the outcome is unknown.
  */
 public final class Shard implements LogFold {
     private static final long RETRY_AFTER_MILLIS = 1_000;
-    private static final long NOT_OWNED = -1;
+    private static final long NO_EPOCH = -1;
 
     private final int number;
     private final VmId self;
@@ -33,13 +34,13 @@
     private final RecordSubmitter submitter;
     private final ShardListener listener;
     private final ShardRebuild rebuild;
-    private final TurnSystem turns;
-    private final CallSystem calls;
-    private final Set<String> ending = new HashSet<>();
+    private final TurnScheduler turns;
+    private final CallCoordinator calls;
+    private final Set<String> endingPrograms = new HashSet<>();
     private ShardState state;
-    private long next;
-    private long ownedEpoch = NOT_OWNED;
-    private long sweptMillis;
+    private long nextOffset;
+    private long ownedEpoch = NO_EPOCH;
+    private long lastSweepMillis;
 
     private Shard(
             int number,
@@ -56,11 +57,11 @@
         this.listener = listener;
         this.rebuild = new ShardRebuild(settings.resultMillis());
         this.state = new ShardState(settings.resultMillis());
-        this.turns = new TurnSystem(() -> state, this::submit, this::isOwned, listener);
-        this.calls = new CallSystem(() -> state, this::submit, listener);
+        this.turns = new TurnScheduler(() -> state, this::submit, this::isOwned, listener);
+        this.calls = new CallCoordinator(() -> state, this::submit, listener);
     }
 
-    /** Makes a shard that has folded nothing yet. */
+    /** Creates a shard that has not applied any record. */
     public static Shard create(
             int number,
             VmId self,
@@ -71,9 +72,9 @@
         return new Shard(number, self, settings, codec, submitter, listener);
     }
 
-    /** Tokens that a new program reserves for its first turn. */
+    /** Tokens that are reserved for a turn unless it needs more. */
     public static long usualReservation(ServiceLimits limits) {
-        return TurnPlanner.usualReservation(limits);
+        return TurnPlanner.defaultReservationTokens(limits);
     }
 
     /** Number of the shard, from 0. */
@@ -81,22 +82,22 @@
         return number;
     }
 
-    /** Epoch in force as far as the stream was read; 0 before the first claim. */
+    /** Current epoch as of the last applied record; 0 before the first claim. */
     public long epoch() {
         return state.epoch();
     }
 
-    /** Owner as far as the stream was read. */
+    /** Owner as of the last applied record. */
     public Optional<VmId> owner() {
         return state.owner();
     }
 
-    /** Whether this process owns the shard, as far as the stream was read. */
+    /** Whether this process is the owner as of the last applied record. */
     public boolean isOwned() {
         return state.owner().filter(self::equals).isPresent();
     }
 
-    /** Records that were void where they stood. */
+    /** Number of void records that were skipped. */
     public long voidRecords() {
         return state.voidRecords();
     }
@@ -109,133 +110,138 @@
         }
         ShardRecord record = decoded.get();
         if (record instanceof ShardRecord.Checkpoint checkpoint) {
-            rebuild.take(offset, checkpoint).ifPresent(this::restore);
+            rebuild.addCheckpointPart(offset, checkpoint).ifPresent(this::replaceState);
             return;
         }
-        if (record instanceof ShardRecord.Claim claim && claim.basedOnEpoch() == nothingKeptAt(offset)) {
-            restore(new ShardState(settings.resultMillis()));
-            applyWhole(offset, new ShardRecord.Claim(0, claim.vm(), claim.incarnation(), false));
+        if (record instanceof ShardRecord.Claim claim && claim.basedOnEpoch() == emptyStreamBase(offset)) {
+            replaceState(new ShardState(settings.resultMillis()));
+            applyRecord(offset, new ShardRecord.Claim(0, claim.vm(), claim.incarnation(), false));
             return;
         }
         if (rebuild.isActive()) {
-            rebuild.hold(offset, record, bytes.length);
+            rebuild.buffer(offset, record, bytes.length);
             return;
         }
-        applyWhole(offset, record);
+        applyRecord(offset, record);
     }
 
-    private void applyWhole(long offset, ShardRecord record) {
+    private void applyRecord(long offset, ShardRecord record) {
         boolean valid = state.apply(offset, record);
         if (valid && record instanceof ShardRecord.Claim) {
-            ownershipChanged();
+            updateOwnership();
         }
         if (valid && record instanceof ShardRecord.ProgramEnded ended) {
             listener.onProgramEnded(ended.program());
         }
     }
 
-    private void restore(ShardState restored) {
+    private void replaceState(ShardState newState) {
         rebuild.end();
-        state = restored;
-        ownershipChanged();
+        state = newState;
+        updateOwnership();
     }
 
     @Override
     public void gap(long firstKept) {
         state = new ShardState(settings.resultMillis());
         rebuild.begin(firstKept);
-        next = firstKept;
-        ownershipChanged();
+        nextOffset = firstKept;
+        updateOwnership();
     }
 
     @Override
     public void foldedBelow(long position) {
-        next = position;
+        nextOffset = position;
     }
 
-    /** Whether the state is that of a reader that saw every record; otherwise nothing may be decided on it. */
+    /** Whether the state reflects every record of the stream. If not, no decision may be based on it. */
     public boolean complete() {
         return !rebuild.isActive();
     }
 
-    /** Offset below which the newest whole checkpoint covers the stream; -1 when none was seen. */
+    /** Offset below which the newest complete checkpoint covers the stream; -1 if none was seen. */
     public long checkpointCoversBelow() {
         return rebuild.newestCoversBelow();
     }
 
     /**
-     * The state as records for the stream; none while it is not complete.
+     * The state as checkpoint records for the stream; none while the state is not complete.
      *
-     * @param maximumPartBytes largest part, in octets of state
+     * @param maximumPartBytes maximum bytes of state in one part
      */
     public List<byte[]> checkpointRecords(int maximumPartBytes) {
         if (!complete()) {
             return List.of();
         }
-        List<byte[]> parts = CheckpointParts.cut(ShardCheckpointForm.encode(state), maximumPartBytes);
+        List<byte[]> parts = CheckpointParts.cut(ShardCheckpointCodec.encode(state), maximumPartBytes);
         List<byte[]> records = new ArrayList<>(parts.size());
         for (int part = 0; part < parts.size(); part++) {
-            records.add(
-                    codec.encode(new ShardRecord.Checkpoint(state.epoch(), next, part, parts.size(), parts.get(part))));
+            records.add(codec.encode(
+                    new ShardRecord.Checkpoint(state.epoch(), nextOffset, part, parts.size(), parts.get(part))));
         }
         return records;
     }
 
     /**
-     * Base of a claim on a stream of which the log keeps nothing: all that it said has expired, and so has the epoch on
-     * which a claim would be based. An owner alive re-publishes its state, so nothing kept means that none was alive for
-     * as long as the log keeps records. The claim counts only at the very offset it names, so that no record can have
-     * come between.
+     * Base epoch of a claim on a stream whose records have all expired, so that the current epoch is unknown. A live
+     * owner publishes checkpoints, so an empty stream means that there was no owner during the whole retention period.
+     * The negative value encodes an offset, and the claim is valid only at that offset: no record can have come before
+     * it.
      */
-    private static long nothingKeptAt(long offset) {
+    private static long emptyStreamBase(long offset) {
         return -1 - offset;
     }
 
-    /** Claims the shard, based on the epoch folded so far; the callback hears whether the claim won. */
+    /** Claims the shard, based on the current epoch. The callback gets whether this process is now the owner. */
     public void claim(Consumer<Boolean> whenDecided) {
-        boolean nothingKept = rebuild.isActive() && next == rebuild.gapEnd();
-        if (rebuild.isActive() && !nothingKept) {
+        boolean streamEmpty = rebuild.isActive() && nextOffset == rebuild.gapEnd();
+        if (rebuild.isActive() && !streamEmpty) {
             whenDecided.accept(false);
             return;
         }
-        long base = nothingKept ? nothingKeptAt(next) : state.epoch();
+        long base = streamEmpty ? emptyStreamBase(nextOffset) : state.epoch();
         ShardRecord.Claim claim = new ShardRecord.Claim(base, self.name(), self.incarnation(), false);
         submitter.submit(codec.encode(claim), folded -> whenDecided.accept(isOwned()));
     }
 
-    /** Gives the shard up, for a planned stop or a better placed entry. Only when nothing is under way. */
+    /**
+     * Releases the shard before a planned stop or in favour of a better placed entry process. Call it only when the
+     * shard is not busy. The callback gets whether this process is no longer the owner.
+     */
     public void release(Consumer<Boolean> whenDecided) {
         ShardRecord.Claim claim = new ShardRecord.Claim(state.epoch(), self.name(), self.incarnation(), true);
         submitter.submit(codec.encode(claim), folded -> whenDecided.accept(!isOwned()));
     }
 
-    /** Whether turns or calls wait or run here. */
+    /** Whether turns or calls are queued or running in this process. */
     public boolean isBusy() {
         return !calls.isEmpty() || !turns.isEmpty();
     }
 
-    /** Makes a program; the callback hears once it is durable. A re-send of the same request finds it made. */
-    public void createProgram(ShardRecord.ProgramCreated wanted, Consumer<Outcome<ProgramView>> whenDone) {
-        Optional<Program> existing = state.program(wanted.program());
+    /** Creates a program. The callback runs once it is durable. A repeated request gets the existing program. */
+    public void createProgram(ShardRecord.ProgramCreated requested, Consumer<Outcome<ProgramView>> whenDone) {
+        Optional<Program> existing = state.program(requested.program());
         if (existing.isPresent()) {
-            whenDone.accept(existingProgram(existing.get(), wanted.clientAccount()));
+            whenDone.accept(existingProgram(existing.get(), requested.clientAccount()));
             return;
         }
-        Optional<Refusal> refusal = parentRefusal(wanted);
+        Optional<Refusal> refusal = parentRefusal(requested);
         if (refusal.isPresent()) {
             whenDone.accept(Outcome.failure(refusal.get()));
             return;
         }
-        submit(wanted, folded -> whenDone.accept(created(wanted)));
+        submit(requested, folded -> whenDone.accept(creationOutcome(requested)));
     }
 
-    private Outcome<ProgramView> created(ShardRecord.ProgramCreated wanted) {
-        Optional<Program> made = state.program(wanted.program());
-        if (made.isEmpty()) {
+    private Outcome<ProgramView> creationOutcome(ShardRecord.ProgramCreated requested) {
+        Optional<Program> created = state.program(requested.program());
+        if (created.isEmpty()) {
             return Outcome.failure(Refusal.notRunRetryAfter(
-                    ResultCode.NOT_OWNER, "the shard passed to another owner", RETRY_AFTER_MILLIS));
+                    ResultCode.NOT_OWNER,
+                    "the program was not recorded; the shard may have a new owner",
+                    RETRY_AFTER_MILLIS));
         }
-        return existingProgram(made.get(), wanted.clientAccount());
+        return existingProgram(created.get(), requested.clientAccount());
     }
 
     private Outcome<ProgramView> existingProgram(Program program, String clientAccount) {
@@ -245,86 +251,89 @@
         return Outcome.success(view(program));
     }
 
-    private Optional<Refusal> parentRefusal(ShardRecord.ProgramCreated wanted) {
-        if (wanted.parent().isEmpty()) {
+    private Optional<Refusal> parentRefusal(ShardRecord.ProgramCreated requested) {
+        if (requested.parent().isEmpty()) {
             return Optional.empty();
         }
-        Optional<Program> parent = state.program(wanted.parent().get());
-        if (parent.isEmpty() || !parent.get().clientAccount.equals(wanted.clientAccount())) {
-            return Optional.of(
-                    Refusal.notRun(ResultCode.UNKNOWN_PROGRAM, wanted.parent().get()));
+        Optional<Program> parent = state.program(requested.parent().get());
+        if (parent.isEmpty() || !parent.get().clientAccount.equals(requested.clientAccount())) {
+            return Optional.of(Refusal.notRun(
+                    ResultCode.UNKNOWN_PROGRAM, requested.parent().get()));
         }
         if (parent.get().isEnded()) {
             return Optional.of(
-                    Refusal.notRun(ResultCode.PROGRAM_ENDED, wanted.parent().get()));
+                    Refusal.notRun(ResultCode.PROGRAM_ENDED, requested.parent().get()));
         }
         return Optional.empty();
     }
 
-    /** What may be told of a program to its account. */
+    /** Finds a program of a client account. */
     public Optional<ProgramView> find(String program, String clientAccount) {
         return state.program(program)
                 .filter(found -> found.clientAccount.equals(clientAccount))
                 .map(this::view);
     }
 
-    /** Ends a program and its sub-agents; the callback hears once it is durable. */
+    /** Ends a program and, if it is a root, its sub-agents. The callback gets whether the program has ended. */
     public void endProgram(long nowMillis, String program, ResultCode code, Consumer<Boolean> whenDone) {
-        ending.add(program);
+        endingPrograms.add(program);
         ShardRecord.ProgramEnded ended = new ShardRecord.ProgramEnded(state.epoch(), program, code.number(), nowMillis);
         submit(ended, folded -> {
-            ending.remove(program);
+            endingPrograms.remove(program);
             whenDone.accept(state.program(program).filter(Program::isEnded).isPresent());
         });
     }
 
-    /** Takes a request for a turn. The host must know the request id before, since it may start at once. */
+    /**
+     * Submits a request for a turn. The host must register the request id first, since {@link
+     * ShardListener#onTurnStart} may be called before this method returns.
+     */
     public Admission offerTurn(long nowMillis, TurnRequest request) {
         return turns.offer(nowMillis, request);
     }
 
-    /** Records the end of a turn; the callback hears whether it became part of the program. */
+    /** Records the result of a turn. The callback gets whether the turn is now a durable part of the program. */
     public void endTurn(long nowMillis, TurnStart start, TurnResult result, Consumer<Boolean> whenDurable) {
         turns.end(nowMillis, start, result, whenDurable);
     }
 
     /**
-     * Charges an attempt that ran and gave nothing. The callback hears, once the charge is durable, whether the budget
-     * covers one more attempt of the turn.
+     * Charges an attempt that ran but returned no result. The callback gets, once the charge is durable, whether the
+     * budget covers another attempt of the turn.
      */
     public void chargeLostAttempt(TurnStart start, Consumer<Boolean> whenCharged) {
         turns.chargeLostAttempt(start, whenCharged);
     }
 
-    /** Ends a turn that gave nothing and costs nothing more than was charged before. */
+    /** Ends a turn without a result and without a further charge. */
     public void failTurn(long nowMillis, TurnStart start) {
-        turns.close(nowMillis, start);
+        turns.finish(nowMillis, start);
     }
 
-    /** Gives up a turn that still waits; false when it runs or is not known. */
+    /** Removes a waiting turn from its queue; false if the turn is running or unknown. */
     public boolean withdrawTurn(String program, String requestId) {
         return turns.withdraw(program, requestId);
     }
 
-    /** Takes a call that must run at most once; it starts when its intent is folded as valid. */
+    /** Submits a call that must run at most once. It starts once its intent has been applied as valid. */
     public Admission offerCall(long nowMillis, CallRequest call) {
         return calls.offer(nowMillis, call);
     }
 
-    /** Gives up a call that has not started; it certainly does not run, and a re-send may. */
+    /** Cancels a call that has not started. It will not run, and a repeated request may run. */
     public void withdrawCall(CallRequest call) {
         calls.withdraw(call);
     }
 
-    /** Records the outcome of a call; the callback hears whether it is kept for re-sends. */
+    /** Records the outcome of a call. The callback gets whether the result is stored for repeated requests. */
     public void endCall(
             long nowMillis, CallRequest call, ResultCode code, StoredAnswer answer, Consumer<Boolean> whenDurable) {
         calls.end(nowMillis, call, code, answer, whenDurable);
     }
 
     /**
-     * Submits a record of the epoch in force, if it is this process's. Without the check a former owner that has read
-     * the claim of its successor would write records of the successor's epoch, and they would be valid.
+     * Submits a record of the current epoch if this process is the owner. Without the check a former owner that has
+     * read its successor's claim would write valid records in its successor's epoch.
      */
     private void submit(ShardRecord record, Consumer<Boolean> whenFolded) {
         if (!isOwned()) {
@@ -334,13 +343,15 @@
         submitter.submit(codec.encode(record), whenFolded);
     }
 
-    /** Sweeps: requests past their deadline, programs idle for too long, results past their time. */
+    /**
+     * Refuses requests past their deadline, ends idle programs and removes expired results, once per sweep interval.
+     */
     public void tick(long nowMillis) {
-        if (nowMillis - sweptMillis < settings.sweepMillis()) {
+        if (nowMillis - lastSweepMillis < settings.sweepMillis()) {
             return;
         }
-        sweptMillis = nowMillis;
-        turns.expire(nowMillis);
+        lastSweepMillis = nowMillis;
+        turns.refuseExpired(nowMillis);
         if (isOwned()) {
             endIdlePrograms(nowMillis);
         }
@@ -350,15 +361,15 @@
     private void endIdlePrograms(long nowMillis) {
         state.programs().stream()
                 .filter(program -> !program.isEnded() && turns.find(program.id).isEmpty())
-                // One record each, however long the log is down: the backlog is for turns.
-                .filter(program -> !ending.contains(program.id))
+                // Submitted once per program: during a log outage, repeats would fill the backlog needed for turns.
+                .filter(program -> !endingPrograms.contains(program.id))
                 .filter(program -> program.lastActiveMillis + settings.programIdleMillis() < nowMillis)
                 .map(program -> program.id)
                 .toList()
                 .forEach(id -> endProgram(nowMillis, id, ResultCode.DEADLINE_PASSED, ended -> {}));
     }
 
-    /** Programs by id, for lists that operators page through. */
+    /** All programs, sorted by id. */
     public List<ProgramView> programs() {
         return state.programs().stream()
                 .map(this::view)
@@ -366,7 +377,7 @@
                 .toList();
     }
 
-    /** Counts for metrics: programs, octets of history, results kept. */
+    /** Reports gauges: programs, bytes of history, stored results and budget overruns. */
     public void measure(BiConsumer<String, Long> gauge) {
         gauge.accept("programs", (long) state.programs().size());
         gauge.accept(
@@ -393,13 +404,13 @@
                 program.lastActiveMillis);
     }
 
-    /** What runs under an epoch is lost with it, also when this process is the next owner itself. */
-    private void ownershipChanged() {
-        long epoch = isOwned() ? state.epoch() : NOT_OWNED;
-        if (ownedEpoch != NOT_OWNED && ownedEpoch != epoch) {
+    /** Drops running turns and calls when their epoch has ended, even if this process is also the next owner. */
+    private void updateOwnership() {
+        long epoch = isOwned() ? state.epoch() : NO_EPOCH;
+        if (ownedEpoch != NO_EPOCH && ownedEpoch != epoch) {
             turns.clear();
             calls.clear();
-            ending.clear();
+            endingPrograms.clear();
             listener.onOwnershipLost(number);
         }
         ownedEpoch = epoch;
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointForm.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointCodec.java
@@ -8,9 +8,9 @@
 import org.quetzalshunt.core.log.StateWriter;
 import org.quetzalshunt.core.vm.VmId;
 
-/** Binary form of a {@link ShardState}: ownership, then programs, then results, each sorted by name. */
-final class ShardCheckpointForm {
-    private ShardCheckpointForm() {}
+/** Binary encoding of a {@link ShardState}: ownership, programs sorted by id, results sorted by account and key. */
+final class ShardCheckpointCodec {
+    private ShardCheckpointCodec() {}
 
     static byte[] encode(ShardState state) {
         StateWriter writer = StateWriter.create();
@@ -35,7 +35,7 @@
         return writer.octets();
     }
 
-    /** Reads a state; empty when the octets are none. */
+    /** Decodes a state; empty if the bytes are truncated. */
     static Optional<ShardState> decode(byte[] octets, long resultMillis) {
         return StateReader.readPlain(octets, reader -> Optional.of(read(reader, resultMillis)));
     }
@@ -49,7 +49,7 @@
         state.restoreOwner(epoch, owner, streamMillis);
         int programs = reader.getInt();
         for (int index = 0; index < programs; index++) {
-            state.restore(getProgram(reader));
+            state.restoreProgram(getProgram(reader));
         }
         int results = reader.getInt();
         for (int index = 0; index < results; index++) {
@@ -68,13 +68,13 @@
         writer.putLong(program.budgetTokens);
         writer.putLong(program.createdMillis);
         writer.putBoolean(program.implicitProgram);
-        writer.putText(program.createdBy);
+        writer.putText(program.createdByRequestId);
         writer.putInt(program.turns);
         writer.putText(program.lastRequestId);
-        writer.putText(program.chargedAfterEnd);
+        writer.putText(program.lateChargedRequestId);
         writer.putLong(program.contextTokens);
         writer.putLong(program.spentTokens);
-        writer.putLong(program.recordedReservation);
+        writer.putLong(program.recordedReservationTokens);
         writer.putLong(program.lastActiveMillis);
         writer.putBoolean(program.isEnded());
         program.endedCode.ifPresent(writer::putInt);
@@ -91,10 +91,10 @@
                 0, id, account, parent, reader.getLong(), 0, reader.getLong(), reader.getBoolean(), reader.getText()));
         program.turns = reader.getInt();
         program.lastRequestId = reader.getText();
-        program.chargedAfterEnd = reader.getText();
+        program.lateChargedRequestId = reader.getText();
         program.contextTokens = reader.getLong();
         program.spentTokens = reader.getLong();
-        program.recordedReservation = reader.getLong();
+        program.recordedReservationTokens = reader.getLong();
         program.lastActiveMillis = reader.getLong();
         program.endedCode = reader.getBoolean() ? OptionalInt.of(reader.getInt()) : OptionalInt.empty();
         program.endedMillis = reader.getLong();
@@ -110,10 +110,10 @@
         writer.putBytes(result.requestDigest());
         writer.putBoolean(result.ended());
         writer.putInt(result.resultCode());
-        writer.putInt(result.stored().status());
-        writer.putText(result.stored().contentType());
-        writer.putBytes(result.stored().body());
-        writer.putLong(result.millis());
+        writer.putInt(result.answer().status());
+        writer.putText(result.answer().contentType());
+        writer.putBytes(result.answer().body());
+        writer.putLong(result.recordedMillis());
     }
 
     private static StoredResult getResult(StateReader reader) {
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointPublisher.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointPublisher.java
@@ -6,8 +6,8 @@
 import org.quetzalshunt.core.log.StreamSession;
 
 /**
- * Re-publishes an owned shard's state before retention takes the records that it came from. Parts are handed in one by
- * one, as the stream takes them, so that the end records of turns do not queue behind a large state.
+ * Publishes checkpoints of an owned shard, so that its state outlives the records that retention deletes. The next part
+ * is submitted only when the backlog is small, so that end records of turns do not queue behind a large checkpoint.
  */
 public final class ShardCheckpointPublisher {
     private static final int PART_BYTES = 256 * 1024;
@@ -15,8 +15,8 @@
     private final Shard shard;
     private final StreamSession session;
     private final CheckpointSchedule schedule;
-    private final Deque<byte[]> waiting = new ArrayDeque<>();
-    private long published;
+    private final Deque<byte[]> pendingParts = new ArrayDeque<>();
+    private long publishedCheckpoints;
 
     private ShardCheckpointPublisher(Shard shard, StreamSession session, CheckpointSchedule schedule) {
         this.shard = shard;
@@ -24,29 +24,35 @@
         this.schedule = schedule;
     }
 
-    /** Makes a publisher; the session folds into the shard. */
+    /**
+     * Creates a publisher.
+     *
+     * @param session session that applies the shard's stream to the shard
+     */
     public static ShardCheckpointPublisher create(Shard shard, StreamSession session, CheckpointSchedule schedule) {
         return new ShardCheckpointPublisher(shard, session, schedule);
     }
 
-    /** Publishes what is due. To be called beside the session's tick, never from a callback of the fold. */
+    /**
+     * Submits the next part of a due checkpoint. Call it next to the session's tick, not from within a fold callback.
+     */
     public void tick(long nowMillis) {
         if (!shard.isOwned()) {
-            waiting.clear();
+            pendingParts.clear();
             return;
         }
         boolean due = schedule.due(nowMillis, shard.checkpointCoversBelow(), session.firstKept());
-        if (due && waiting.isEmpty()) {
-            published++;
-            waiting.addAll(shard.checkpointRecords(PART_BYTES));
+        if (due && pendingParts.isEmpty()) {
+            publishedCheckpoints++;
+            pendingParts.addAll(shard.checkpointRecords(PART_BYTES));
         }
-        if (!waiting.isEmpty() && session.available() && session.backlogBytes() < PART_BYTES) {
-            session.submit(nowMillis, waiting.removeFirst(), submission -> {});
+        if (!pendingParts.isEmpty() && session.available() && session.backlogBytes() < PART_BYTES) {
+            session.submit(nowMillis, pendingParts.removeFirst(), submission -> {});
         }
     }
 
-    /** Checkpoints begun since the start. */
+    /** Number of checkpoints started by this process. */
     public long published() {
-        return published;
+        return publishedCheckpoints;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardListener.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardListener.java
@@ -2,20 +2,20 @@
 
 import org.quetzalshunt.core.result.Refusal;
 
-/** Hears from a shard what its host has to do. Called on the thread that called the shard. */
+/** Callbacks by which a shard asks its host to act. They run on the thread that called the shard. */
 public interface ShardListener {
-    /** Run a turn. */
+    /** A turn has to be run. */
     void onTurnStart(TurnStart start);
 
-    /** Run a call whose intent is folded. */
+    /** A call has to be run; its intent has been applied. */
     void onCallStart(CallRequest call);
 
-    /** Answer a request with a refusal; it will not start. */
+    /** A request has to be answered with a refusal; it will not start. */
     void onRefused(String requestId, Refusal refusal);
 
-    /** The shard passed to another owner: nothing that runs here counts any more. */
+    /** The epoch in which this process owned the shard has ended; results of running turns and calls are now void. */
     void onOwnershipLost(int shard);
 
-    /** A program ended: engine memory held for it can go. */
+    /** A program has ended; its prefix cache in the engines may be released. */
     void onProgramEnded(String program);
 }
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardNumbers.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardNumbers.java
@@ -3,18 +3,19 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Maps names to shards. A sub-agent's id is its root's id, a separator and a suffix, so that a whole tree of programs
- * is in one shard and shares its root's budget without messages between shards.
+ * Maps programs and calls to shard numbers by hash. A sub-agent's id is its root's id, a separator and a suffix, and
+ * only the root's id is hashed. So a tree of programs is in one shard and can share its root's budget without messages
+ * between shards.
  */
 public final class ShardNumbers {
-    /** Between a root's id and the suffix of a sub-agent. */
+    /** Separates a root's id from the suffix of a sub-agent. */
     public static final char SEPARATOR = '.';
 
     private static final int BYTE_MASK = 0xff;
 
     private ShardNumbers() {}
 
-    /** Root id of a program id. */
+    /** Id of a program's root. */
     public static String root(String program) {
         int separator = program.indexOf(SEPARATOR);
         return separator < 0 ? program : program.substring(0, separator);
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardRebuild.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardRebuild.java
@@ -6,19 +6,22 @@
 import org.quetzalshunt.core.log.CheckpointParts;
 
 /**
- * Brings a shard's state back after retention has dropped records unread: holds what follows the gap until a checkpoint
- * that covers the gap is whole, then applies what is held from the checkpoint's offset on.
+ * Rebuilds a shard's state after retention has deleted records that were not read. Records after the gap are buffered
+ * until all parts of a checkpoint that covers the gap have arrived; then those not covered by it are applied on top.
  */
 final class ShardRebuild {
-    /** Records of one shard between two checkpoints, with room; more is dropped, and the next checkpoint awaited. */
-    private static final long MAXIMUM_HELD_BYTES = 256L * 1024 * 1024;
+    /**
+     * Ample for the records of one shard between two checkpoints. When it is exceeded, the buffer is dropped, and only
+     * a checkpoint that covers the dropped records can end the rebuild.
+     */
+    private static final long MAXIMUM_BUFFERED_BYTES = 256L * 1024 * 1024;
 
     private final long resultMillis;
     private final CheckpointParts parts = CheckpointParts.create();
-    private final List<Held> held = new ArrayList<>();
+    private final List<BufferedRecord> buffered = new ArrayList<>();
     private boolean active;
     private long gapEnd;
-    private long heldBytes;
+    private long bufferedBytes;
     private long newestCoversBelow = -1;
 
     ShardRebuild(long resultMillis) {
@@ -28,12 +31,12 @@
     void begin(long firstKept) {
         active = true;
         gapEnd = firstKept;
-        clearHeld();
+        clearBuffer();
     }
 
     void end() {
         active = false;
-        clearHeld();
+        clearBuffer();
     }
 
     boolean isActive() {
@@ -48,42 +51,42 @@
         return newestCoversBelow;
     }
 
-    void hold(long offset, ShardRecord record, int bytes) {
-        if (heldBytes + bytes > MAXIMUM_HELD_BYTES) {
+    void buffer(long offset, ShardRecord record, int bytes) {
+        if (bufferedBytes + bytes > MAXIMUM_BUFFERED_BYTES) {
             gapEnd = offset + 1;
-            clearHeld();
+            clearBuffer();
             return;
         }
-        heldBytes += bytes;
-        held.add(new Held(offset, record));
+        bufferedBytes += bytes;
+        buffered.add(new BufferedRecord(offset, record));
     }
 
-    /** Takes a part of a checkpoint; gives the state when it is whole and the rebuild was waiting for it. */
-    Optional<ShardState> take(long offset, ShardRecord.Checkpoint checkpoint) {
-        // A checkpoint speaks of what lies before it; one that covers its own place comes from a broken writer.
+    /** Adds a part of a checkpoint. Returns the rebuilt state if the checkpoint is now complete and covers the gap. */
+    Optional<ShardState> addCheckpointPart(long offset, ShardRecord.Checkpoint checkpoint) {
+        // A checkpoint can only cover offsets before its own; anything else comes from a faulty writer.
         if (checkpoint.coversBelow() > offset) {
             return Optional.empty();
         }
-        Optional<byte[]> whole =
+        Optional<byte[]> complete =
                 parts.add(checkpoint.coversBelow(), checkpoint.part(), checkpoint.parts(), checkpoint.state());
-        if (whole.isEmpty()) {
+        if (complete.isEmpty()) {
             return Optional.empty();
         }
         newestCoversBelow = Math.max(newestCoversBelow, checkpoint.coversBelow());
         if (!active || checkpoint.coversBelow() < gapEnd) {
             return Optional.empty();
         }
-        Optional<ShardState> state = ShardCheckpointForm.decode(whole.get(), resultMillis);
-        state.ifPresent(restored -> held.stream()
+        Optional<ShardState> state = ShardCheckpointCodec.decode(complete.get(), resultMillis);
+        state.ifPresent(rebuilt -> buffered.stream()
                 .filter(record -> record.offset() >= checkpoint.coversBelow())
-                .forEach(record -> restored.apply(record.offset(), record.record())));
+                .forEach(record -> rebuilt.apply(record.offset(), record.record())));
         return state;
     }
 
-    private void clearHeld() {
-        held.clear();
-        heldBytes = 0;
+    private void clearBuffer() {
+        buffered.clear();
+        bufferedBytes = 0;
     }
 
-    private record Held(long offset, ShardRecord record) {}
+    private record BufferedRecord(long offset, ShardRecord record) {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardRecord.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardRecord.java
@@ -2,13 +2,15 @@
 
 import java.util.Optional;
 
-/** A record of a shard's stream. Every reader applies the same rule to it, in the order of the stream. */
+/** A record of a shard's stream. Every reader applies the records in stream order, with the same rules. */
 public sealed interface ShardRecord {
 
-    /** Takes or gives up the shard; valid only when based on the epoch in force. Its offset + 1 is the new epoch. */
+    /**
+     * Acquires or releases ownership of the shard. Valid only if based on the current epoch; starts epoch offset + 1.
+     */
     record Claim(long basedOnEpoch, String vm, long incarnation, boolean release) implements ShardRecord {}
 
-    /** Makes a program. Valid when no program has the id. */
+    /** Creates a program. Valid only if no program has the id and any parent is active and of the same account. */
     record ProgramCreated(
             long epoch,
             String program,
@@ -21,7 +23,7 @@
             String requestId)
             implements ShardRecord {}
 
-    /** Ends a turn. Valid when it is the program's next one and extends its history. */
+    /** Completes a turn. Valid only if it is the program's next turn and extends its history. */
     record TurnEnded(
             long epoch,
             String program,
@@ -39,13 +41,13 @@
             long endedMillis)
             implements ShardRecord {}
 
-    /** Reserves more for the next turn than the last record did. */
+    /** Raises the reservation for the next turn above the recorded one. */
     record ReservationRaised(long epoch, String program, long tokens) implements ShardRecord {}
 
-    /** Spending of an attempt that ran and gave no turn. */
+    /** Charges the tokens of an attempt that ran but did not complete its turn. */
     record BudgetCharged(long epoch, String program, long tokens) implements ShardRecord {}
 
-    /** A call that must run at most once is about to be dispatched. */
+    /** Announces that a call that must run at most once will be dispatched. */
     record CallIntent(
             long epoch,
             String clientAccount,
@@ -56,7 +58,7 @@
             long intendedMillis)
             implements ShardRecord {}
 
-    /** The outcome of such a call. */
+    /** Records the outcome of a call that has a {@link CallIntent}. */
     record CallEnded(
             long epoch,
             String clientAccount,
@@ -67,9 +69,9 @@
             long endedMillis)
             implements ShardRecord {}
 
-    /** Ends a program; its result code says why. */
+    /** Ends a program for the reason given by the result code. */
     record ProgramEnded(long epoch, String program, int resultCode, long endedMillis) implements ShardRecord {}
 
-    /** The state below an offset, in place of the records that retention drops. */
+    /** One part of a snapshot of the state below an offset, which replaces the records that retention deletes. */
     record Checkpoint(long epoch, long coversBelow, int part, int parts, byte[] state) implements ShardRecord {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardRecordCodec.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardRecordCodec.java
@@ -2,11 +2,11 @@
 
 import java.util.Optional;
 
-/** Turns records into bytes and back; implemented outside the core, which knows no encoding. */
+/** Encodes and decodes shard records. Implemented outside the core, which does not depend on a wire format. */
 public interface ShardRecordCodec {
-    /** Bytes of a record. */
+    /** Encodes a record. */
     byte[] encode(ShardRecord record);
 
-    /** The record in the bytes; empty for bytes that are none, which a fold passes over. */
+    /** Decodes a record; empty when the bytes are not a valid record. A fold skips such bytes. */
     Optional<ShardRecord> decode(byte[] bytes);
 }
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardSettings.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardSettings.java
@@ -1,14 +1,14 @@
 package org.quetzalshunt.core.program;
 
 /**
- * Times of a shard.
+ * Retention and sweep times of a shard.
  *
- * @param resultMillis how long results and ended programs are kept for re-sends
- * @param programIdleMillis idle time after which a program ends
- * @param sweepMillis interval of the sweeps over all programs
+ * @param resultMillis how long results and ended programs are kept to answer repeated requests
+ * @param programIdleMillis idle time after which a program is ended
+ * @param sweepMillis interval between sweeps for expired requests, idle programs and old results
  */
 public record ShardSettings(long resultMillis, long programIdleMillis, long sweepMillis) {
-    /** An hour for both, the values of {@link org.quetzalshunt.core.document.ServiceLimits#defaults}. */
+    /** One hour for results and idle programs, as in {@link org.quetzalshunt.core.document.ServiceLimits#defaults}. */
     public static ShardSettings defaults() {
         return new ShardSettings(3_600_000, 3_600_000, 1_000);
     }
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardState.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardState.java
@@ -9,8 +9,8 @@
 import org.quetzalshunt.core.vm.VmId;
 
 /**
- * The fold of a shard's stream. The rule for each record is deterministic and looks at nothing but the records before
- * it, so every reader comes to the same state (certification on the log's order).
+ * The replicated state of a shard. Whether a record is valid and what it changes depends only on the records before it,
+ * so every reader of the stream reaches the same state (state machine replication with certification in log order).
  */
 final class ShardState {
     private final long resultMillis;
@@ -50,21 +50,21 @@
         return results;
     }
 
-    /** The program whose budget pays for a program. */
-    Program payer(Program program) {
+    /** The program whose budget a program's tokens are charged to: the root of its tree, or itself if that is gone. */
+    Program budgetRoot(Program program) {
         Program root = programs.get(ShardNumbers.root(program.id));
         return root == null ? program : root;
     }
 
     /**
-     * Latest time that a record names. Results and ended programs grow old by it and not by the reader's clock: a reader
-     * that forgot earlier than another would take as valid what the other takes as void.
+     * Newest timestamp of any record. Results and ended programs expire by this time and not by the reader's clock.
+     * Otherwise readers would drop a result at different offsets and disagree on whether a later record is valid.
      */
     long streamMillis() {
         return streamMillis;
     }
 
-    /** Records after which a program had spent more than its budget; a broken promise unless 0. */
+    /** Number of records after which a program had spent more than its budget; anything but 0 is a defect. */
     long overspends() {
         return overspends;
     }
@@ -76,49 +76,49 @@
         streamMillis = checkpointMillis;
     }
 
-    /** Puts a program of a checkpoint in its place. */
-    void restore(Program program) {
+    /** Restores a program from a checkpoint. */
+    void restoreProgram(Program program) {
         programs.put(program.id, program);
     }
 
     boolean apply(long offset, ShardRecord record) {
         streamMillis = Math.max(streamMillis, RecordTimes.of(record));
-        boolean valid = certify(offset, record);
+        boolean valid = applyIfValid(offset, record);
         if (!valid) {
             voidRecords++;
         }
         return valid;
     }
 
-    private boolean certify(long offset, ShardRecord record) {
+    private boolean applyIfValid(long offset, ShardRecord record) {
         if (record instanceof ShardRecord.Claim claim) {
-            return claim(offset, claim);
+            return applyClaim(offset, claim);
         }
         if (record instanceof ShardRecord.ProgramCreated created) {
-            return created.epoch() == epoch && create(created);
+            return created.epoch() == epoch && applyProgramCreated(created);
         }
         if (record instanceof ShardRecord.TurnEnded ended) {
-            return ended.epoch() == epoch && endTurn(ended);
+            return ended.epoch() == epoch && applyTurnEnded(ended);
         }
         if (record instanceof ShardRecord.ReservationRaised raised) {
-            return raised.epoch() == epoch && raise(raised);
+            return raised.epoch() == epoch && applyReservationRaised(raised);
         }
         if (record instanceof ShardRecord.BudgetCharged charged) {
-            return charged.epoch() == epoch && charge(charged);
+            return charged.epoch() == epoch && applyBudgetCharged(charged);
         }
         if (record instanceof ShardRecord.CallIntent intent) {
-            return intent.epoch() == epoch && intend(intent);
+            return intent.epoch() == epoch && applyCallIntent(intent);
         }
         if (record instanceof ShardRecord.CallEnded ended) {
-            return ended.epoch() == epoch && endCall(ended);
+            return ended.epoch() == epoch && applyCallEnded(ended);
         }
         if (record instanceof ShardRecord.ProgramEnded ended) {
-            return ended.epoch() == epoch && endProgram(ended);
+            return ended.epoch() == epoch && applyProgramEnded(ended);
         }
         return false;
     }
 
-    private boolean claim(long offset, ShardRecord.Claim claim) {
+    private boolean applyClaim(long offset, ShardRecord.Claim claim) {
         if (claim.basedOnEpoch() != epoch || (claim.release() && !isOwner(claim))) {
             return false;
         }
@@ -128,7 +128,7 @@
         }
         epoch = offset + 1;
         owner = claim.release() ? Optional.empty() : Optional.of(VmId.of(claim.vm(), claim.incarnation()));
-        programs.values().forEach(program -> program.liveReservations = 0);
+        programs.values().forEach(program -> program.activeReservationTokens = 0);
         return true;
     }
 
@@ -137,41 +137,42 @@
     }
 
     /**
-     * The former owner ended without giving the shard up, so each program's next turn may be running at an engine.
-     * Its reservation counts as spent; without that a program could spend its last tokens once an owner.
+     * Charges the reservation of a program after a takeover without release: the former owner may have left its next
+     * turn running at an engine. Without the charge each new owner could spend the rest of the budget again.
      */
     private void chargeReservation(Program program) {
-        if (program.isEnded() || program.recordedReservation == 0) {
+        if (program.isEnded() || program.recordedReservationTokens == 0) {
             return;
         }
-        Program payer = payer(program);
-        long charge = Math.min(program.recordedReservation, Math.max(0, payer.budgetTokens - payer.spentTokens));
+        Program budgetRoot = budgetRoot(program);
+        long charge = Math.min(
+                program.recordedReservationTokens, Math.max(0, budgetRoot.budgetTokens - budgetRoot.spentTokens));
         spend(program, charge);
-        program.recordedReservation = 0;
+        program.recordedReservationTokens = 0;
     }
 
     private void spend(Program program, long tokens) {
         program.spentTokens += tokens;
-        Program payer = payer(program);
-        if (payer != program) {
-            payer.spentTokens += tokens;
+        Program budgetRoot = budgetRoot(program);
+        if (budgetRoot != program) {
+            budgetRoot.spentTokens += tokens;
         }
-        if (tokens > 0 && payer.spentTokens > payer.budgetTokens) {
+        if (tokens > 0 && budgetRoot.spentTokens > budgetRoot.budgetTokens) {
             overspends++;
         }
     }
 
-    private boolean create(ShardRecord.ProgramCreated created) {
+    private boolean applyProgramCreated(ShardRecord.ProgramCreated created) {
         Program existing = programs.get(created.program());
-        if ((existing != null && !isForgotten(existing)) || !parentLives(created)) {
+        if ((existing != null && !isExpired(existing)) || !isParentActive(created)) {
             return false;
         }
         programs.put(created.program(), new Program(created));
         return true;
     }
 
-    /** A sub-agent of a program that has ended would spend the budget of a tree that nobody looks at any more. */
-    private boolean parentLives(ShardRecord.ProgramCreated created) {
+    /** Whether the parent, if any, is active. A sub-agent of an ended program would spend a budget no longer in use. */
+    private boolean isParentActive(ShardRecord.ProgramCreated created) {
         if (created.parent().isEmpty()) {
             return true;
         }
@@ -179,19 +180,19 @@
         return parent != null && !parent.isEnded() && parent.clientAccount.equals(created.clientAccount());
     }
 
-    private boolean isForgotten(Program program) {
+    private boolean isExpired(Program program) {
         return program.isEnded() && program.endedMillis < streamMillis - resultMillis;
     }
 
-    private boolean endTurn(ShardRecord.TurnEnded ended) {
+    private boolean applyTurnEnded(ShardRecord.TurnEnded ended) {
         Program program = programs.get(ended.program());
         if (program == null || ended.turn() != program.turns + 1) {
             return false;
         }
         if (program.isEnded()) {
-            // It ended while the turn ran: no part of it any more, but its tree has spent the tokens.
-            if (!program.chargedAfterEnd.equals(ended.requestId())) {
-                program.chargedAfterEnd = ended.requestId();
+            // The program ended while the turn ran: the turn is void, but its tokens are charged to the program's root.
+            if (!program.lateChargedRequestId.equals(ended.requestId())) {
+                program.lateChargedRequestId = ended.requestId();
                 spend(program, ended.spentTokens());
             }
             return false;
@@ -207,7 +208,7 @@
         program.lastRequestId = ended.requestId();
         program.contextTokens = ended.usage().contextTokens();
         spend(program, ended.spentTokens());
-        program.recordedReservation = ended.nextReservationTokens();
+        program.recordedReservationTokens = ended.nextReservationTokens();
         program.lastActiveMillis = ended.endedMillis();
         ended.idempotencyKey()
                 .ifPresent(key -> results.put(
@@ -223,30 +224,30 @@
         return true;
     }
 
-    private boolean raise(ShardRecord.ReservationRaised raised) {
+    private boolean applyReservationRaised(ShardRecord.ReservationRaised raised) {
         Program program = programs.get(raised.program());
         if (program == null || program.isEnded()) {
             return false;
         }
-        program.recordedReservation = Math.max(program.recordedReservation, raised.tokens());
+        program.recordedReservationTokens = Math.max(program.recordedReservationTokens, raised.tokens());
         return true;
     }
 
-    private boolean charge(ShardRecord.BudgetCharged charged) {
+    private boolean applyBudgetCharged(ShardRecord.BudgetCharged charged) {
         Program program = programs.get(charged.program());
         if (program == null) {
             return false;
         }
-        Program payer = payer(program);
-        spend(program, Math.min(charged.tokens(), Math.max(0, payer.budgetTokens - payer.spentTokens)));
+        Program budgetRoot = budgetRoot(program);
+        spend(program, Math.min(charged.tokens(), Math.max(0, budgetRoot.budgetTokens - budgetRoot.spentTokens)));
         return true;
     }
 
-    private boolean intend(ShardRecord.CallIntent intent) {
-        boolean known = results.find(intent.clientAccount(), intent.idempotencyKey())
-                .filter(result -> result.millis() >= streamMillis - resultMillis)
+    private boolean applyCallIntent(ShardRecord.CallIntent intent) {
+        boolean exists = results.find(intent.clientAccount(), intent.idempotencyKey())
+                .filter(result -> result.recordedMillis() >= streamMillis - resultMillis)
                 .isPresent();
-        if (known) {
+        if (exists) {
             return false;
         }
         results.put(
@@ -262,7 +263,7 @@
         return true;
     }
 
-    private boolean endCall(ShardRecord.CallEnded ended) {
+    private boolean applyCallEnded(ShardRecord.CallEnded ended) {
         Optional<StoredResult> intent = results.find(ended.clientAccount(), ended.idempotencyKey());
         if (intent.isEmpty()
                 || intent.get().ended()
@@ -286,12 +287,12 @@
         return true;
     }
 
-    /** A call recorded with any other failure than an unknown outcome did not run, so a re-send may run it. */
+    /** A call that ended with a failure other than an unknown outcome did not run, so a repeated request may run it. */
     private static boolean didNotRun(int resultCode) {
         return resultCode != ResultCode.OK.number() && resultCode != ResultCode.OUTCOME_UNKNOWN.number();
     }
 
-    private boolean endProgram(ShardRecord.ProgramEnded ended) {
+    private boolean applyProgramEnded(ShardRecord.ProgramEnded ended) {
         Program program = programs.get(ended.program());
         if (program == null || program.isEnded()) {
             return false;
@@ -310,12 +311,12 @@
         program.endedCode = OptionalInt.of(ended.resultCode());
         program.endedMillis = ended.endedMillis();
         program.lastActiveMillis = ended.endedMillis();
-        program.history.forget();
+        program.history.clear();
     }
 
-    /** Drops what no rule looks at any more. */
+    /** Removes expired programs and results, which no longer affect the validity of records. */
     void sweep() {
-        programs.values().removeIf(this::isForgotten);
-        results.forgetBefore(streamMillis - resultMillis);
+        programs.values().removeIf(this::isExpired);
+        results.removeBefore(streamMillis - resultMillis);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/program/StoredResult.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/StoredResult.java
@@ -1,14 +1,19 @@
 package org.quetzalshunt.core.program;
 
 /**
- * What is known of a request by its idempotency key.
+ * The recorded state of a request, stored under its idempotency key.
  *
- * @param requestId request that ran
- * @param requestDigest digest of what was asked; another request under the same key is an error of the caller
- * @param ended whether its outcome is known; without it the request may have run
- * @param resultCode numbered outcome, once it ended
- * @param stored the answer, once it ended
- * @param millis time of its last record
+ * @param requestId id of the request that first used the key
+ * @param requestDigest digest of the request; a request with the same key and another digest is refused
+ * @param ended whether the outcome is recorded; if not, the request may have run
+ * @param resultCode number of the result code, once ended
+ * @param answer the answer, once ended
+ * @param recordedMillis timestamp of the newest record about the request
  */
 record StoredResult(
-        String requestId, byte[] requestDigest, boolean ended, int resultCode, StoredAnswer stored, long millis) {}
+        String requestId,
+        byte[] requestDigest,
+        boolean ended,
+        int resultCode,
+        StoredAnswer answer,
+        long recordedMillis) {}
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnPlanner.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnPlanner.java
@@ -7,44 +7,47 @@
 import org.quetzalshunt.core.result.Refusal;
 import org.quetzalshunt.core.result.ResultCode;
 
-/** Works out whether and how a turn may run: its prompt from the history, its bound from the budget. */
+/** Checks whether a turn may run, builds its prompt from the history and limits its output to the remaining budget. */
 final class TurnPlanner {
     /**
-     * Octets of new messages that the usual reservation covers. A caller's turn is mostly smaller, so later turns cost
-     * no append before their first token; a larger one waits for one append. More would charge each program more when
-     * its owner crashes, since the whole reservation then counts as spent.
+     * Size of new messages that the default reservation covers. Most turns are smaller, so they start without waiting
+     * for a log append; a larger turn waits for one append that raises the reservation. A higher value would cost
+     * programs more when their owner crashes, because the whole reservation then counts as spent.
      */
-    private static final long NEW_MESSAGES_BYTES = 1_024;
+    private static final long NEW_MESSAGES_RESERVATION_BYTES = 1_024;
 
     private TurnPlanner() {}
 
-    /** Tokens that the record of a turn sets aside for the next one. */
-    static long usualReservation(ServiceLimits limits) {
-        return limits.reservationTokens() + NEW_MESSAGES_BYTES;
+    /** Tokens that the record of a turn reserves for the next turn. */
+    static long defaultReservationTokens(ServiceLimits limits) {
+        return limits.reservationTokens() + NEW_MESSAGES_RESERVATION_BYTES;
     }
 
-    static Outcome<TurnStart> plan(Program program, Program payer, TurnRequest request) {
+    static Outcome<TurnStart> plan(Program program, Program budgetRoot, TurnRequest request) {
         if (program.isEnded()) {
-            return refuse(ResultCode.PROGRAM_ENDED, "code " + program.endedCode.getAsInt());
+            return refuse(
+                    ResultCode.PROGRAM_ENDED, "the program ended with result code " + program.endedCode.getAsInt());
         }
         if (program.turns >= request.limits().maximumTurns()) {
-            return refuse(ResultCode.TURN_LIMIT_REACHED, program.turns + " turns");
+            return refuse(ResultCode.TURN_LIMIT_REACHED, program.turns + " turns completed");
         }
         History history = program.history;
-        boolean whole = request.mode() != MessageMode.NEW && history.isPrefixOf(request.messages());
-        if (!whole && startsLikeHistory(request, history)) {
-            return refuse(ResultCode.HISTORY_MISMATCH, "the history has " + history.size() + " messages");
+        boolean includesHistory = request.mode() != MessageMode.NEW && history.isPrefixOf(request.messages());
+        if (!includesHistory && resemblesHistory(request, history)) {
+            return refuse(
+                    ResultCode.HISTORY_MISMATCH,
+                    "the messages do not extend the program's history of " + history.size() + " messages");
         }
-        List<byte[]> fresh = whole
+        List<byte[]> newMessages = includesHistory
                 ? request.messages().subList(history.size(), request.messages().size())
                 : request.messages();
-        if (fresh.isEmpty()) {
-            return refuse(ResultCode.INVALID_FIELD, "no new message");
+        if (newMessages.isEmpty()) {
+            return refuse(ResultCode.INVALID_FIELD, "the request has no new messages");
         }
-        return withinBudget(program, payer, request, fresh);
+        return planWithinBudget(program, budgetRoot, request, newMessages);
     }
 
-    private static boolean startsLikeHistory(TurnRequest request, History history) {
+    private static boolean resemblesHistory(TurnRequest request, History history) {
         if (request.mode() == MessageMode.ALL) {
             return true;
         }
@@ -53,39 +56,42 @@
     }
 
     /**
-     * The octets of the new messages bound their tokens from above, since a token has at least one octet. So the sum of
-     * all reservations within the budget is a bound on what can be spent, whatever the engines count.
+     * Reserves the size of the new messages in bytes in place of their unknown token count. A token has at least one
+     * byte, so this is an upper bound, and reservations that fit in the budget can never be overspent.
      */
-    private static Outcome<TurnStart> withinBudget(
-            Program program, Program payer, TurnRequest request, List<byte[]> fresh) {
-        long newBytes = fresh.stream().mapToLong(message -> message.length).sum();
-        long available = available(program, payer) - newBytes;
-        if (available < 1) {
-            return refuse(ResultCode.BUDGET_EXHAUSTED, "spent " + payer.spentTokens + " of " + payer.budgetTokens);
+    private static Outcome<TurnStart> planWithinBudget(
+            Program program, Program budgetRoot, TurnRequest request, List<byte[]> newMessages) {
+        long newBytes =
+                newMessages.stream().mapToLong(message -> message.length).sum();
+        long availableTokens = availableTokens(program, budgetRoot) - newBytes;
+        if (availableTokens < 1) {
+            return refuse(
+                    ResultCode.BUDGET_EXHAUSTED,
+                    "budget tokens spent: " + budgetRoot.spentTokens + " of " + budgetRoot.budgetTokens);
         }
-        long wanted = request.maximumOutputTokens() > 0
+        long requestedOutputTokens = request.maximumOutputTokens() > 0
                 ? request.maximumOutputTokens()
                 : request.limits().reservationTokens();
-        int output = (int) Math.min(Math.min(wanted, available), Integer.MAX_VALUE);
+        int outputTokens = (int) Math.min(Math.min(requestedOutputTokens, availableTokens), Integer.MAX_VALUE);
         List<byte[]> prompt = new ArrayList<>(program.history.messages());
-        prompt.addAll(fresh);
+        prompt.addAll(newMessages);
         return Outcome.success(new TurnStart(
                 request,
                 program.turns + 1,
                 prompt,
-                fresh.size(),
-                output,
-                newBytes + output,
+                newMessages.size(),
+                outputTokens,
+                newBytes + outputTokens,
                 program.contextTokens,
                 newBytes));
     }
 
-    private static long available(Program program, Program payer) {
-        long ofTree = payer.budgetTokens - payer.spentTokens - payer.liveReservations;
-        if (payer == program) {
-            return ofTree;
+    private static long availableTokens(Program program, Program budgetRoot) {
+        long availableToTree = budgetRoot.budgetTokens - budgetRoot.spentTokens - budgetRoot.activeReservationTokens;
+        if (budgetRoot == program) {
+            return availableToTree;
         }
-        return Math.min(ofTree, program.budgetTokens - program.spentTokens - program.liveReservations);
+        return Math.min(availableToTree, program.budgetTokens - program.spentTokens - program.activeReservationTokens);
     }
 
     private static Outcome<TurnStart> refuse(ResultCode code, String detail) {
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnQueue.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnQueue.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The turns of one program that wait at the owner, in the order in which they came, and the one that runs. */
+/** The running turn of one program and its waiting turns in order of arrival; kept in memory by the shard's owner. */
 final class TurnQueue {
-    /** Turns that may wait for one program; a chain of dependent calls has one, a careless caller a few. */
-    static final int MAXIMUM_WAITING = 32;
+    /** Waiting turns allowed per program. A caller that sends each turn after the last answer needs only one. */
+    static final int MAXIMUM_WAITING_TURNS = 32;
 
     private final List<TurnRequest> waiting = new ArrayList<>();
     private Optional<TurnStart> running = Optional.empty();
@@ -24,16 +24,16 @@
         return waiting;
     }
 
-    void run(TurnStart start) {
+    void setRunning(TurnStart start) {
         running = Optional.of(start);
     }
 
-    void runEnded() {
+    void clearRunning() {
         running = Optional.empty();
     }
 
-    /** Takes the first request that can be the next turn: it names that turn, or none. */
-    Optional<TurnRequest> takeNext(int nextTurn) {
+    /** Removes and returns the first request that either has no expected turn number or expects this one. */
+    Optional<TurnRequest> pollNext(int nextTurn) {
         for (int index = 0; index < waiting.size(); index++) {
             TurnRequest request = waiting.get(index);
             if (request.turn().isEmpty() || request.turn().getAsInt() == nextTurn) {
@@ -44,7 +44,7 @@
         return Optional.empty();
     }
 
-    /** The request with the same idempotency key that runs or waits. */
+    /** Finds the running or waiting request with an idempotency key. */
     Optional<TurnRequest> find(String idempotencyKey) {
         Optional<TurnRequest> found =
                 running.map(TurnStart::request).filter(request -> hasKey(request, idempotencyKey));
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnRecords.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnRecords.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Builds the record that ends a turn. */
+/** Builds the record of a completed turn. */
 final class TurnRecords {
     private TurnRecords() {}
 
@@ -10,7 +10,7 @@
             long nowMillis, long epoch, Program program, TurnStart start, TurnResult result) {
         TurnRequest request = start.request();
         List<byte[]> prompt = start.prompt();
-        List<byte[]> fresh = prompt.subList(prompt.size() - start.newMessages(), prompt.size());
+        List<byte[]> newMessages = prompt.subList(prompt.size() - start.newMessages(), prompt.size());
         return new ShardRecord.TurnEnded(
                 epoch,
                 program.id,
@@ -19,21 +19,21 @@
                 request.idempotencyKey(),
                 request.digest(),
                 program.history.hash(),
-                MessageList.join(fresh),
+                MessageList.join(newMessages),
                 result.answer(),
                 result.stored(),
                 result.usage(),
-                spent(start, result),
-                request.implicitProgram() ? 0 : TurnPlanner.usualReservation(request.limits()),
+                spentTokens(start, result),
+                request.implicitProgram() ? 0 : TurnPlanner.defaultReservationTokens(request.limits()),
                 nowMillis);
     }
 
     /**
-     * A turn costs the tokens by which it made the context longer: each message is paid once, however often the engine
-     * reads it again. An engine that evicts and computes again costs the operator, not the program.
+     * A turn costs the tokens that it added to the context, so each message is charged once, however often an engine
+     * processes it again. Recomputing evicted cache entries is not charged to the program.
      */
-    static long spent(TurnStart start, TurnResult result) {
-        long grown = Math.max(0, result.usage().promptTokens() - start.contextTokens());
-        return grown + result.usage().completionTokens();
+    static long spentTokens(TurnStart start, TurnResult result) {
+        long addedPromptTokens = Math.max(0, result.usage().promptTokens() - start.contextTokens());
+        return addedPromptTokens + result.usage().completionTokens();
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnRequest.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnRequest.java
@@ -9,18 +9,18 @@
  * A caller's request for the next turn of a program.
  *
  * @param requestId id of the request
- * @param program program; for a request outside any program, the id made for it
- * @param implicitProgram whether the request is a program of one turn of its own
- * @param clientAccount account of the key that came with it
- * @param turn turn that the caller expects this to be, counted from 1
- * @param idempotencyKey names the request over re-sends
- * @param digest digest of everything that the caller asked
- * @param messages messages in their canonical octets
- * @param mode what the messages are
- * @param maximumOutputTokens asked by the caller; 0 for the default
- * @param deadlineMillis when an answer is of no more use
+ * @param program id of the program; for a request outside any program, a generated id
+ * @param implicitProgram whether the request belongs to no program and gets one of its own, with a single turn
+ * @param clientAccount client account that the caller authenticated as
+ * @param turn turn number that the caller expects, counted from 1; empty for any
+ * @param idempotencyKey key that is the same when the caller repeats the request
+ * @param digest digest of the whole request
+ * @param messages messages in canonical form
+ * @param mode whether the messages include the history
+ * @param maximumOutputTokens limit on generated tokens set by the caller; 0 for the service's default
+ * @param deadlineMillis time after which the caller no longer needs an answer
  * @param limits limits of the service
- * @param service service that runs it
+ * @param service service that the request is for
  */
 public record TurnRequest(
         String requestId,
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnResult.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnResult.java
@@ -1,10 +1,10 @@
 package org.quetzalshunt.core.program;
 
 /**
- * What a turn gave.
+ * The result of a completed turn.
  *
- * @param answer the assistant's message in canonical octets
- * @param stored the answer for re-sends
- * @param usage tokens as counted by the engine
+ * @param answer the assistant's message in canonical form
+ * @param stored the response to store for repeated requests
+ * @param usage token counts reported by the engine
  */
 public record TurnResult(byte[] answer, StoredAnswer stored, TurnUsage usage) {}
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnSystem.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnScheduler.java
@@ -14,26 +14,26 @@
 import org.quetzalshunt.core.result.ResultCode;
 
 /**
- * The turns under way at a shard's owner: one of each program runs, the others wait in the order in which they came. The
- * state is asked for anew each time, since a checkpoint puts another in its place.
+ * Runs the turns of a shard's programs at its owner: one turn per program at a time, the others wait in order of
+ * arrival. The state comes from a supplier because applying a checkpoint replaces the {@link ShardState} object.
  */
-final class TurnSystem {
+final class TurnScheduler {
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final Supplier<ShardState> state;
     private final BiConsumer<ShardRecord, Consumer<Boolean>> submitter;
-    private final BooleanSupplier owned;
+    private final BooleanSupplier isOwner;
     private final ShardListener listener;
     private final Map<String, TurnQueue> queues = new Object2ObjectHashMap<>();
 
-    TurnSystem(
+    TurnScheduler(
             Supplier<ShardState> state,
             BiConsumer<ShardRecord, Consumer<Boolean>> submitter,
-            BooleanSupplier owned,
+            BooleanSupplier isOwner,
             ShardListener listener) {
         this.state = state;
         this.submitter = submitter;
-        this.owned = owned;
+        this.isOwner = isOwner;
         this.listener = listener;
     }
 
@@ -50,11 +50,11 @@
     }
 
     Admission offer(long nowMillis, TurnRequest request) {
-        Optional<Admission> known = knownTurn(request);
+        Optional<Admission> known = findDuplicate(request);
         if (known.isPresent()) {
             return known.get();
         }
-        Optional<Refusal> refusal = turnRefusal(request);
+        Optional<Refusal> refusal = refusalOf(request);
         if (refusal.isPresent()) {
             return new Admission.Refused(refusal.get());
         }
@@ -63,23 +63,24 @@
         return new Admission.Accepted();
     }
 
-    private Optional<Admission> knownTurn(TurnRequest request) {
+    private Optional<Admission> findDuplicate(TurnRequest request) {
         if (request.idempotencyKey().isEmpty()) {
             return Optional.empty();
         }
         String key = request.idempotencyKey().get();
         Optional<StoredResult> result = state.get().results().find(request.clientAccount(), key);
         if (result.isPresent()) {
-            return Optional.of(Calls.knownResult(result.get(), request.digest()));
+            return Optional.of(IdempotencyCheck.againstStoredResult(result.get(), request.digest()));
         }
         TurnQueue queue = queues.get(request.program());
         return Optional.ofNullable(queue)
                 .flatMap(found -> found.find(key))
                 .filter(other -> other.clientAccount().equals(request.clientAccount()))
-                .map(other -> Calls.sameRequest(other.requestId(), other.digest(), request.digest()));
+                .map(other ->
+                        IdempotencyCheck.againstActiveRequest(other.requestId(), other.digest(), request.digest()));
     }
 
-    private Optional<Refusal> turnRefusal(TurnRequest request) {
+    private Optional<Refusal> refusalOf(TurnRequest request) {
         Optional<Program> program = state.get().program(request.program());
         if (request.implicitProgram()) {
             return Optional.empty();
@@ -90,13 +91,13 @@
         int ended = program.get().turns;
         if (request.turn().isPresent()
                 && (request.turn().getAsInt() <= ended
-                        || request.turn().getAsInt() > ended + TurnQueue.MAXIMUM_WAITING)) {
+                        || request.turn().getAsInt() > ended + TurnQueue.MAXIMUM_WAITING_TURNS)) {
             return Optional.of(Refusal.notRun(ResultCode.TURN_OUT_OF_ORDER, "the next turn is " + (ended + 1)));
         }
         TurnQueue queue = queue(request.program());
-        if (queue.waiting().size() >= TurnQueue.MAXIMUM_WAITING) {
+        if (queue.waiting().size() >= TurnQueue.MAXIMUM_WAITING_TURNS) {
             return Optional.of(Refusal.notRunRetryAfter(
-                    ResultCode.QUEUE_FULL, "too many turns of the program wait", RETRY_AFTER_MILLIS));
+                    ResultCode.QUEUE_FULL, "the program has too many waiting turns", RETRY_AFTER_MILLIS));
         }
         return Optional.empty();
     }
@@ -108,21 +109,21 @@
     private boolean isRunning(TurnStart start) {
         return Optional.ofNullable(queues.get(start.request().program()))
                 .flatMap(TurnQueue::running)
-                .filter(running -> isSame(running, start))
+                .filter(running -> isSameRequest(running, start))
                 .isPresent();
     }
 
-    private static boolean isSame(TurnStart one, TurnStart other) {
+    private static boolean isSameRequest(TurnStart one, TurnStart other) {
         return one.request().requestId().equals(other.request().requestId());
     }
 
-    /** Starts the program's next turn when none runs. */
+    /** Starts the program's next turn if none is running. */
     private void startNext(long nowMillis, String id) {
         TurnQueue queue = queue(id);
         while (queue.running().isEmpty()) {
             int nextTurn =
                     state.get().program(id).map(program -> program.turns + 1).orElse(1);
-            Optional<TurnRequest> next = queue.takeNext(nextTurn);
+            Optional<TurnRequest> next = queue.pollNext(nextTurn);
             if (next.isEmpty()) {
                 break;
             }
@@ -135,44 +136,48 @@
 
     private void start(long nowMillis, TurnQueue queue, TurnRequest request) {
         Program program = state.get().program(request.program()).orElseGet(() -> implicitProgram(nowMillis, request));
-        Program payer = state.get().payer(program);
-        Outcome<TurnStart> planned = TurnPlanner.plan(program, payer, request);
+        Program budgetRoot = state.get().budgetRoot(program);
+        Outcome<TurnStart> planned = TurnPlanner.plan(program, budgetRoot, request);
         if (planned instanceof Outcome.Failure<TurnStart> failure) {
             listener.onRefused(request.requestId(), failure.refusal());
             return;
         }
         TurnStart start = planned.toOptional().orElseThrow();
-        queue.run(start);
-        reserve(program, payer, start.reservation());
-        if (request.implicitProgram() || start.reservation() <= program.recordedReservation) {
+        queue.setRunning(start);
+        reserve(program, budgetRoot, start.reservation());
+        if (request.implicitProgram() || start.reservation() <= program.recordedReservationTokens) {
             listener.onTurnStart(start);
             return;
         }
         ShardRecord.ReservationRaised raised =
                 new ShardRecord.ReservationRaised(state.get().epoch(), program.id, start.reservation());
-        submitter.accept(raised, folded -> raisedThenStart(nowMillis, program, start));
+        submitter.accept(raised, folded -> startAfterReservation(nowMillis, program, start));
     }
 
-    private void raisedThenStart(long nowMillis, Program program, TurnStart start) {
+    private void startAfterReservation(long nowMillis, Program program, TurnStart start) {
         boolean stillRunning =
-                owned.getAsBoolean() && program.recordedReservation >= start.reservation() && isRunning(start);
+                isOwner.getAsBoolean() && program.recordedReservationTokens >= start.reservation() && isRunning(start);
         if (stillRunning) {
             listener.onTurnStart(start);
             return;
         }
         listener.onRefused(
                 start.request().requestId(),
-                Refusal.notRunRetryAfter(ResultCode.NOT_OWNER, "the shard passed on", RETRY_AFTER_MILLIS));
-        // When the record was refused, for a full backlog say, the shard is still owned and the program must go on.
-        close(nowMillis, start);
+                Refusal.notRunRetryAfter(
+                        ResultCode.NOT_OWNER,
+                        "the reservation was not recorded or the shard has a new owner",
+                        RETRY_AFTER_MILLIS));
+        // If the record was rejected, for instance because the backlog is full, the shard is still owned, and the
+        // program's next turn has to start.
+        finish(nowMillis, start);
     }
 
-    /** A request outside any program is a program of one turn, recorded together with the end of that turn. */
+    /** Creates the program of a request outside any program. It has one turn and is recorded when that turn ends. */
     private Program implicitProgram(long nowMillis, TurnRequest request) {
-        return new Program(implicitRecord(nowMillis, request));
+        return new Program(implicitProgramRecord(nowMillis, request));
     }
 
-    private ShardRecord.ProgramCreated implicitRecord(long nowMillis, TurnRequest request) {
+    private ShardRecord.ProgramCreated implicitProgramRecord(long nowMillis, TurnRequest request) {
         return new ShardRecord.ProgramCreated(
                 state.get().epoch(),
                 request.program(),
@@ -185,16 +190,16 @@
                 request.requestId());
     }
 
-    private void reserve(Program program, Program payer, long tokens) {
-        program.liveReservations += tokens;
-        if (payer != program) {
-            payer.liveReservations += tokens;
+    private void reserve(Program program, Program budgetRoot, long tokens) {
+        program.activeReservationTokens += tokens;
+        if (budgetRoot != program) {
+            budgetRoot.activeReservationTokens += tokens;
         }
     }
 
     void end(long nowMillis, TurnStart start, TurnResult result, Consumer<Boolean> whenDurable) {
-        // A turn of an epoch of before may come to its end when this process owns the shard again. The takeover has
-        // charged its reservation, so that what it spent would count twice and pass the budget.
+        // A turn started in an earlier epoch may end after this process has become the owner again. The takeover has
+        // already charged the turn's reservation, so recording its tokens too could exceed the budget.
         if (!isRunning(start)) {
             whenDurable.accept(false);
             return;
@@ -202,7 +207,7 @@
         TurnRequest request = start.request();
         Optional<Program> known = state.get().program(request.program());
         if (request.implicitProgram() && known.isEmpty()) {
-            submitter.accept(implicitRecord(nowMillis, request), folded -> {});
+            submitter.accept(implicitProgramRecord(nowMillis, request), folded -> {});
         }
         Program program = known.orElseGet(() -> implicitProgram(nowMillis, request));
         ShardRecord.TurnEnded ended = TurnRecords.ended(nowMillis, state.get().epoch(), program, start, result);
@@ -211,8 +216,8 @@
                     .program(request.program())
                     .filter(found -> found.lastRequestId.equals(request.requestId()))
                     .isPresent();
-            whenDurable.accept(folded && kept && owned.getAsBoolean());
-            close(nowMillis, start);
+            whenDurable.accept(folded && kept && isOwner.getAsBoolean());
+            finish(nowMillis, start);
         });
         if (request.implicitProgram()) {
             ShardRecord.ProgramEnded end = new ShardRecord.ProgramEnded(
@@ -221,7 +226,7 @@
         }
     }
 
-    /** Without the charge an engine that fails would let a program spend its budget twice. */
+    /** Charges the reservation of a failed attempt, so that retries cannot spend more than the program's budget. */
     void chargeLostAttempt(TurnStart start, Consumer<Boolean> whenCharged) {
         if (start.request().implicitProgram() || !isRunning(start)) {
             whenCharged.accept(start.request().implicitProgram());
@@ -229,28 +234,30 @@
         }
         ShardRecord.BudgetCharged charged = new ShardRecord.BudgetCharged(
                 state.get().epoch(), start.request().program(), start.reservation());
-        submitter.accept(charged, folded -> whenCharged.accept(folded && owned.getAsBoolean() && withinBudget(start)));
+        submitter.accept(
+                charged, folded -> whenCharged.accept(folded && isOwner.getAsBoolean() && isWithinBudget(start)));
     }
 
-    private boolean withinBudget(TurnStart start) {
+    private boolean isWithinBudget(TurnStart start) {
         return state.get()
                 .program(start.request().program())
-                .map(state.get()::payer)
-                .filter(payer -> payer.budgetTokens - payer.spentTokens - payer.liveReservations >= 0)
+                .map(state.get()::budgetRoot)
+                .filter(budgetRoot ->
+                        budgetRoot.budgetTokens - budgetRoot.spentTokens - budgetRoot.activeReservationTokens >= 0)
                 .isPresent();
     }
 
-    /** Ends the run of a turn and starts the program's next one. */
-    void close(long nowMillis, TurnStart start) {
+    /** Releases the reservation of a turn that no longer runs and starts the program's next turn. */
+    void finish(long nowMillis, TurnStart start) {
         String id = start.request().program();
         if (!isRunning(start)) {
             return;
         }
-        queues.get(id).runEnded();
+        queues.get(id).clearRunning();
         if (!start.request().implicitProgram()) {
             state.get()
                     .program(id)
-                    .ifPresent(program -> reserve(program, state.get().payer(program), -start.reservation()));
+                    .ifPresent(program -> reserve(program, state.get().budgetRoot(program), -start.reservation()));
         }
         startNext(nowMillis, id);
     }
@@ -261,8 +268,8 @@
                 && queue.waiting().removeIf(request -> request.requestId().equals(requestId));
     }
 
-    /** Refuses what waits past its deadline. */
-    void expire(long nowMillis) {
+    /** Refuses waiting turns whose deadline has passed. */
+    void refuseExpired(long nowMillis) {
         List<TurnRequest> expired = new ArrayList<>();
         queues.values().forEach(queue -> queue.waiting().removeIf(request -> {
             boolean late = request.deadlineMillis() <= nowMillis;
@@ -273,6 +280,8 @@
         }));
         queues.values().removeIf(TurnQueue::isIdle);
         expired.forEach(request -> listener.onRefused(
-                request.requestId(), Refusal.notRun(ResultCode.DEADLINE_PASSED, "it waited for an earlier turn")));
+                request.requestId(),
+                Refusal.notRun(
+                        ResultCode.DEADLINE_PASSED, "the deadline passed while the turn waited for an earlier one")));
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnStart.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnStart.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * A turn that may run now.
+ * A turn that has to be run, with its prompt and limits.
  *
- * @param request what the caller asked
+ * @param request the caller's request
  * @param turn number of the turn, from 1
- * @param prompt the whole prompt: history and new messages
- * @param newMessages how many of them, at the end, are new
- * @param maximumOutputTokens bound on generated tokens, within the budget
- * @param reservation tokens set aside until the turn ends
- * @param contextTokens tokens of the history as last counted by an engine
- * @param newBytes octets of the new messages, an upper bound on their tokens
+ * @param prompt the whole prompt: the history followed by the new messages
+ * @param newMessages number of new messages at the end of the prompt
+ * @param maximumOutputTokens limit on generated tokens, within the budget
+ * @param reservation tokens reserved until the turn ends
+ * @param contextTokens tokens of the history, as last reported by an engine
+ * @param newBytes size of the new messages, an upper bound on their tokens
  */
 public record TurnStart(
         TurnRequest request,
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnUsage.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnUsage.java
@@ -1,10 +1,10 @@
 package org.quetzalshunt.core.program;
 
 /**
- * Tokens of one turn as the engine counted them.
+ * Token counts of one turn, as reported by the engine.
  *
- * @param promptTokens tokens of the whole prompt
- * @param cachedTokens prompt tokens that were not computed again
+ * @param promptTokens tokens of the whole prompt, including the history
+ * @param cachedTokens prompt tokens served from the engine's prefix cache
  * @param completionTokens tokens generated
  */
 public record TurnUsage(long promptTokens, long cachedTokens, long completionTokens) {
--- a/core/src/main/java/org/quetzalshunt/core/program/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/package-info.java
@@ -1,8 +1,10 @@
 /**
- * Programs and calls of one shard: their order, history, budget and results, as a fold over the shard's stream and a
- * live part at the shard's owner. {@link org.quetzalshunt.core.program.Shard} is the facade.
+ * Programs and calls of one shard. The order of turns, the histories, budgets and results are a replicated state
+ * machine that every reader builds by applying the records of the shard's stream in order. Queued and running requests
+ * are kept in memory by the shard's owner. {@link org.quetzalshunt.core.program.Shard} is the facade.
  *
- * <p>Every record names the epoch in which it was written. A record of another epoch than the one in force at its
- * place in the stream is void, so a paused former owner can append what it likes and change nothing.
+ * <p>Every record carries the epoch in which it was written. A record whose epoch is not the current one at its
+ * position in the stream is void: readers skip it. Records that a paused former owner appends after a takeover thus
+ * have no effect.
  */
 package org.quetzalshunt.core.program;
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
@@ -15,7 +15,7 @@
 import org.quetzalshunt.core.result.Refusal;
 import org.quetzalshunt.core.vm.VmId;
 
-/** An entry with one shard on a fake log; turns and calls that start are noted, and ended by the test. */
+/** An entry process with one shard on a fake log. It records started turns and calls, which the test then ends. */
 final class ShardNode implements ShardListener {
     static final String ACCOUNT = "arusha";
 
@@ -28,7 +28,7 @@
     final List<CallRequest> callsStarted = new ArrayList<>();
     final Map<String, Refusal> refusals = new HashMap<>();
     final Map<String, Boolean> durable = new HashMap<>();
-    int timesLost;
+    int ownershipLosses;
     private final FakeLog log;
 
     private ShardNode(FakeLog log, ShardRecordCodec codec, String name, long incarnation, StreamSettings settings) {
@@ -64,7 +64,7 @@
         publisher.tick(log.now());
     }
 
-    /** Reads to the end and claims the shard. */
+    /** Reads the stream to its end and claims the shard. */
     void takeOver(Runnable ticks) {
         session.follow(log.now());
         log.run(60, ticks);
@@ -104,7 +104,7 @@
                         "tutor"));
     }
 
-    /** Ends a turn that was started, having cost some tokens. */
+    /** Ends a started turn that generated a number of tokens. */
     void end(TurnStart start, long tokens) {
         String requestId = start.request().requestId();
         byte[] answer = octets("answer " + requestId);
@@ -142,7 +142,7 @@
 
     @Override
     public void onOwnershipLost(int number) {
-        timesLost++;
+        ownershipLosses++;
     }
 
     @Override
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardRandomTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardRandomTest.java
@@ -13,12 +13,12 @@
 import org.quetzalshunt.core.log.FakeLog;
 
 /**
- * Three entries pass one shard among them: they crash, stand still past a takeover and come back, while appends get lost
- * or doubled and the log keeps 90 seconds only. Callers run turns and lorry orders and send them again. What a caller
- * would see if it went wrong: a turn that was answered is gone or doubled, a program over its budget, a second lorry.
+ * Three entry processes share one shard. They crash, are paused during takeovers and resume, while appends are lost or
+ * duplicated and the log keeps records for 90 seconds only. Callers run turns and repeat at-most-once calls. Guards
+ * against answered turns that are lost or duplicated, programs over their budget and calls that run twice.
  */
 final class ShardRandomTest {
-    private static final int ENTRIES = 3;
+    private static final int NODES = 3;
     private static final int RUN_MILLIS = 400_000;
     private static final long RETENTION_MILLIS = 90_000;
     private static final long BUDGET = 60_000;
@@ -31,27 +31,28 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void nothingIsLostDoubledOrOverspent(long seed) {
-        Play play = new Play(seed);
-        play.log.run(RUN_MILLIS, play::millisecond);
-        play.settle();
+        Scenario scenario = new Scenario(seed);
+        scenario.log.run(RUN_MILLIS, scenario::step);
+        scenario.settle();
 
-        Map<String, List<String>> told = new HashMap<>();
-        Map<String, Integer> lorries = new HashMap<>();
-        for (ShardNode node : play.all) {
+        Map<String, List<String>> durableTurns = new HashMap<>();
+        Map<String, Integer> callRuns = new HashMap<>();
+        for (ShardNode node : scenario.allNodes) {
             node.turnsStarted.forEach(start -> {
                 if (Boolean.TRUE.equals(node.durable.get(start.request().requestId()))) {
-                    told.computeIfAbsent(start.request().program(), ignored -> new ArrayList<>())
+                    durableTurns
+                            .computeIfAbsent(start.request().program(), ignored -> new ArrayList<>())
                             .add(start.turn() + " " + start.request().requestId());
                 }
             });
-            node.callsStarted.forEach(call -> lorries.merge(call.idempotencyKey(), 1, Integer::sum));
+            node.callsStarted.forEach(call -> callRuns.merge(call.idempotencyKey(), 1, Integer::sum));
         }
-        assertThat(lorries.size()).isGreaterThan(5);
-        assertThat(lorries.values().stream().filter(runs -> runs > 1)).isEmpty();
-        assertThat(told.values().stream().mapToInt(List::size).sum()).isGreaterThan(50);
-        ShardNode reader = play.late;
+        assertThat(callRuns.size()).isGreaterThan(5);
+        assertThat(callRuns.values().stream().filter(runs -> runs > 1)).isEmpty();
+        assertThat(durableTurns.values().stream().mapToInt(List::size).sum()).isGreaterThan(50);
+        ShardNode reader = scenario.lateNode;
         assertThat(reader.shard.complete()).isTrue();
-        told.forEach((program, turns) -> {
+        durableTurns.forEach((program, turns) -> {
             List<String> numbers = turns.stream()
                     .map(turn -> turn.substring(0, turn.indexOf(' ')))
                     .toList();
@@ -66,42 +67,42 @@
             }
         });
         assertThat(reader.session.firstKept()).isGreaterThan(20);
-        List<byte[]> ofReader = reader.shard.checkpointRecords(Integer.MAX_VALUE / 2);
-        assertThat(play.state(play.entries.get(0))).isEqualTo(play.state(reader));
-        assertThat(ofReader).hasSize(1);
+        List<byte[]> checkpoint = reader.shard.checkpointRecords(Integer.MAX_VALUE / 2);
+        assertThat(scenario.describeState(scenario.liveNodes.get(0))).isEqualTo(scenario.describeState(reader));
+        assertThat(checkpoint).hasSize(1);
     }
 
-    /** The log, the entries that live, and every entry that ever lived. */
-    private static final class Play {
+    /** A random run: the log, the processes now running, and all processes since the start. */
+    private static final class Scenario {
         final FakeLog log;
         final TableCodec codec = new TableCodec();
         final SplittableRandom random;
-        final List<ShardNode> entries = new ArrayList<>();
-        final List<ShardNode> all = new ArrayList<>();
+        final List<ShardNode> liveNodes = new ArrayList<>();
+        final List<ShardNode> allNodes = new ArrayList<>();
         final List<Long> arrivals = new ArrayList<>();
         final Map<ShardNode, Long> pausedUntil = new HashMap<>();
-        ShardNode late;
+        ShardNode lateNode;
         int requests;
 
-        Play(long seed) {
+        Scenario(long seed) {
             log = new FakeLog(seed);
             random = new SplittableRandom(seed);
             log.setFaults(0.15, 0.05);
-            for (int entry = 0; entry < ENTRIES; entry++) {
-                entries.add(start("vm" + entry));
+            for (int index = 0; index < NODES; index++) {
+                liveNodes.add(start("vm" + index));
             }
         }
 
         ShardNode start(String name) {
-            ShardNode node = ShardNode.start(log, codec, name, all.size() + 1);
-            all.add(node);
+            ShardNode node = ShardNode.start(log, codec, name, allNodes.size() + 1);
+            allNodes.add(node);
             return node;
         }
 
-        void millisecond() {
+        void step() {
             expireRecords();
-            for (int index = 0; index < ENTRIES; index++) {
-                ShardNode node = entries.get(index);
+            for (int index = 0; index < NODES; index++) {
+                ShardNode node = liveNodes.get(index);
                 if (pausedUntil.getOrDefault(node, 0L) > log.now()) {
                     continue;
                 }
@@ -116,7 +117,7 @@
         private void act(int index, ShardNode node) {
             if (random.nextInt(40_000) == 0) {
                 node.line.cut();
-                entries.set(index, start("vm" + index));
+                liveNodes.set(index, start("vm" + index));
                 return;
             }
             if (random.nextInt(25_000) == 0) {
@@ -170,19 +171,19 @@
 
         void settle() {
             log.setFaults(0, 0);
-            entries.forEach(node -> node.line.resume());
-            late = start("late");
+            liveNodes.forEach(node -> node.line.resume());
+            lateNode = start("late");
             for (int round = 0; round < 2; round++) {
-                entries.forEach(node -> node.session.follow(log.now()));
-                late.session.follow(log.now());
+                liveNodes.forEach(node -> node.session.follow(log.now()));
+                lateNode.session.follow(log.now());
                 log.run(5_000, () -> {
-                    entries.forEach(node -> node.session.tick(log.now()));
-                    late.session.tick(log.now());
+                    liveNodes.forEach(node -> node.session.tick(log.now()));
+                    lateNode.session.tick(log.now());
                 });
             }
         }
 
-        List<String> state(ShardNode node) {
+        List<String> describeState(ShardNode node) {
             List<ProgramView> programs = node.shard.programs();
             List<String> views = new ArrayList<>();
             programs.forEach(view -> views.add(view.id() + " " + view.turns() + " " + view.spentTokens() + " "
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Two entries see the owner vanish and claim its programs at the same moment. Were both to win, two engines would
-     * run the same turn and its history would fork. The log's order makes one the owner, at both.
+     * Two entry processes claim the shard at the same time after its owner has failed. If both became owners, two
+     * engines would run the same turn and the history would fork. Both processes must agree on one owner, by log order.
      */
     @Test
     void oneOfTwoRacingClaimsWins() {
@@ -49,12 +49,12 @@
     }
 
     /**
-     * The owner stands still in the middle of a turn; another entry takes over and ends the program's next turn. Then
-     * the former owner goes on and records the end of its own. Both would be turn 1: the second must not count, and its
-     * caller must not be told that it did.
+     * The owner is paused during turn 1, another process takes over and completes turn 1, and then the former owner
+     * resumes and records its own result for turn 1. That record must be void, and its caller must not be told that it
+     * succeeded.
      */
     @Test
-    void aPausedOwnersTurnDoesNotCountAfterATakeover() {
+    void aPausedOwnersTurnIsVoidAfterATakeover() {
         one.takeOver(this::ticks);
         one.create(PROGRAM, 10_000);
         log.run(40, this::ticks);
@@ -73,9 +73,9 @@
     }
 
     /**
-     * A cooperative orders a lorry. The owner writes the intent and dies, stands still, or loses the answer around it;
-     * the order comes again by another entry. Wherever the intent came before the takeover the lorry may be on its way:
-     * the second must not be sent, and the caller must hear that nobody knows.
+     * The owner fails after it has written a call's intent, whatever happened to that append, and the caller repeats
+     * the call at the new owner. The call may have run, so it must not run again, and its outcome must be reported as
+     * unknown.
      */
     @ParameterizedTest
     @EnumSource(FakeLog.AppendFault.class)
@@ -95,11 +95,11 @@
     }
 
     /**
-     * The intent comes behind the claim of a new owner: it is void. The former owner's host hears that the shard is lost
-     * before the call could start, so that its "not run" is true, and the new owner may run the call.
+     * The intent of a call is appended after the claim of a new owner and is therefore void. The former owner must lose
+     * the shard before the call could start, so that its answer "not run" is true, and the new owner may run the call.
      */
     @Test
-    void anIntentBehindATakeoverIsVoidAndItsCallDoesNotStart() {
+    void anIntentAppendedAfterATakeoverIsVoidAndItsCallDoesNotStart() {
         one.takeOver(this::ticks);
         one.line.pause();
         two.takeOver(two::tick);
@@ -107,18 +107,18 @@
         one.line.resume();
         log.run(200, this::ticks);
         assertThat(one.callsStarted).isEmpty();
-        assertThat(one.timesLost).isEqualTo(1);
+        assertThat(one.ownershipLosses).isEqualTo(1);
         two.call("lorry", "second");
         log.run(100, this::ticks);
         assertThat(two.callsStarted).hasSize(1);
     }
 
     /**
-     * The log is down when a cooperative orders its lorry. At its deadline the caller hears "not run"; later the log is
-     * back and holds the intent after all. The lorry must not be sent then, and the same order may be placed again.
+     * During a log outage a call reaches its deadline and is answered "not run", but its intent is appended when the
+     * log recovers. The call must not run then, and a repeated request must be accepted.
      */
     @Test
-    void aCallWithdrawnBeforeItsIntentNeverRunsAndMayBeSentAgain() {
+    void aCallCancelledBeforeItsIntentNeverRunsAndMayBeRepeated() {
         one.takeOver(this::ticks);
         log.setOutage(true);
         one.call("lorry", "first");
@@ -134,9 +134,9 @@
     }
 
     /**
-     * Retention passed over a shard's records and a new entry took it from the checkpoint. A parent renews, then sends
-     * the renewal again: the first must run, and the second must hear of it. A call that looked at the state of before
-     * the checkpoint would never start.
+     * A new owner restores its state from a checkpoint, which replaces the state object. A call handler that kept using
+     * the former object would never see the intent, so the call would not start. The first call must run, and a
+     * repeated one must attach to it.
      */
     @Test
     void aCallRunsOnceAtAnOwnerThatStartedFromACheckpoint() {
@@ -156,12 +156,12 @@
     }
 
     /**
-     * A program began yesterday; the log keeps an hour. Its owner dies and an entry that started today takes over. It
-     * has never seen the first turns: it must have them from the checkpoint, with the answers for re-sends.
+     * A process that starts after retention has deleted a program's first records takes over. It must get the history
+     * and the stored answers from the checkpoint, and later turns from the records after it.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aLateStarterHasTheWholeProgramFromTheCheckpoint(boolean turnsAfterTheCheckpoint) {
+    void aProcessStartedLateRestoresTheProgramFromTheCheckpoint(boolean turnsAfterTheCheckpoint) {
         one.takeOver(this::ticks);
         one.create(PROGRAM, 10_000);
         log.run(40, this::ticks);
@@ -187,9 +187,9 @@
         assertThat(late.turnsStarted.get(0).prompt()).hasSize(2 * turns + 1);
     }
 
-    /** Without a usable checkpoint nothing is known of the programs: nobody may own the shard and start afresh. */
+    /** Without a usable checkpoint the programs are unknown, so no process may claim the shard with an empty state. */
     @Test
-    void aShardWithoutAUsableCheckpointIsNotTaken() {
+    void aShardWithoutAUsableCheckpointCannotBeClaimed() {
         one.takeOver(this::ticks);
         one.create(PROGRAM, 10_000);
         log.run(40, this::ticks);
@@ -202,11 +202,11 @@
     }
 
     /**
-     * Every entry was down for longer than the log keeps records, so nothing is kept, not even the epoch. The shard must
-     * come back, with one owner, and an owner of before that wakes now must see that it is none.
+     * All processes were down for longer than the log's retention, so every record and the epoch itself are gone. The
+     * shard must become available again with exactly one owner, and a former owner that resumes must not remain owner.
      */
     @Test
-    void aShardOfWhichNothingIsKeptStartsAfreshWithOneOwner() {
+    void aShardWhoseRecordsAllExpiredRestartsEmptyWithOneOwner() {
         one.takeOver(this::ticks);
         one.create(PROGRAM, 10_000);
         log.run(40, this::ticks);
@@ -228,11 +228,11 @@
     }
 
     /**
-     * The log is down for long while many programs lie idle. If each sweep handed in the end of each program again, the
-     * backlog would be full of them, and turns would be refused that could have waited.
+     * During a long log outage, if every sweep submitted the end of an idle program again, these records would fill the
+     * backlog and turns would be refused.
      */
     @Test
-    void anIdleProgramIsEndedByOneRecord() {
+    void anIdleProgramIsEndedByOneRecordDuringALogOutage() {
         one.takeOver(this::ticks);
         one.create(PROGRAM, 10_000);
         log.run(40, this::ticks);
@@ -244,9 +244,9 @@
         assertThat(one.session.backlog()).isEqualTo(1);
     }
 
-    /** A turn whose reservation cannot be recorded is refused, and must not leave its program blocked for good. */
+    /** A turn that is refused because its reservation cannot be recorded must not block later turns of its program. */
     @Test
-    void aTurnRefusedForAFullBacklogLeavesItsProgramFree() {
+    void aTurnRefusedForAFullBacklogDoesNotBlockItsProgram() {
         ShardNode small = ShardNode.withBacklogOf(log, codec, 1);
         small.takeOver(small::tick);
         small.create(PROGRAM, 100_000);
@@ -263,11 +263,11 @@
     }
 
     /**
-     * A planning group's program calls a helper, and is ended while the helper's turn runs. What the helper spent is
-     * the root's spending all the same, and no helper may be made for a program that has ended.
+     * A sub-agent is ended while its turn runs. The tokens of that turn must still be charged to the root program, and
+     * no sub-agent may be created for a program that has ended.
      */
     @Test
-    void aSubAgentsSpendingIsItsRootsEvenAfterTheEnd() {
+    void aSubAgentsTokensAreChargedToItsRootEvenAfterItsEnd() {
         one.takeOver(this::ticks);
         one.create(PROGRAM, 10_000);
         log.run(60, this::ticks);
@@ -290,9 +290,9 @@
     }
 
     /**
-     * An entry starts a turn, stands still past a takeover, and becomes the owner again; only then does the turn of its
-     * former epoch end. The takeover has charged what the turn may have cost. Charged again, the program would pass its
-     * budget, as three of sixty random runs showed.
+     * A process starts a turn, is paused during a takeover and becomes the owner again, and only then does the turn
+     * end. The takeover has already charged the turn's reservation. Charging the turn again made programs exceed their
+     * budget in 3 of 60 random runs.
      */
     @Test
     void aTurnOfAFormerEpochIsNotChargedTwice() {
@@ -314,9 +314,9 @@
                 .hasValue(ShardNode.octets("ask of the first epoch").length + 100L);
     }
 
-    /** Only the owner gives a shard up; a release by anybody else is void. */
+    /** Only the owner may release a shard; a release by another process must be void. */
     @Test
-    void aReleaseByAnotherIsVoid() {
+    void aReleaseByAProcessThatIsNotTheOwnerIsVoid() {
         one.takeOver(this::ticks);
         two.session.follow(log.now());
         log.run(60, this::ticks);
--- a/core/src/test/java/org/quetzalshunt/core/program/TableCodec.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/TableCodec.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.agrona.concurrent.UnsafeBuffer;
 
-/** Stands for the Thrift form: the octets of a record are its number in a table that all nodes of a test share. */
+/** Replaces the Thrift codec in tests: a record is encoded as its index in a table shared by all nodes of a test. */
 final class TableCodec implements ShardRecordCodec {
     private final List<ShardRecord> records = new ArrayList<>();
 
