--- a/core/src/main/java/org/quetzalshunt/core/program/Shard.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/Shard.java
@@ -238,7 +238,7 @@
         if (created.isEmpty()) {
             return Outcome.failure(Refusal.notRunRetryAfter(
                     ResultCode.NOT_OWNER,
-                    "the program was not recorded; the shard may have a new owner",
+                    "the program was not recorded; the shard may have another owner",
                     RETRY_AFTER_MILLIS));
         }
         return existingProgram(created.get(), requested.clientAccount());
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnPlanner.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnPlanner.java
@@ -42,7 +42,7 @@
                 ? request.messages().subList(history.size(), request.messages().size())
                 : request.messages();
         if (newMessages.isEmpty()) {
-            return refuse(ResultCode.INVALID_FIELD, "the request has no new messages");
+            return refuse(ResultCode.INVALID_FIELD, "the request has no new message");
         }
         return planWithinBudget(program, budgetRoot, request, newMessages);
     }
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnScheduler.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnScheduler.java
@@ -165,7 +165,7 @@
                 start.request().requestId(),
                 Refusal.notRunRetryAfter(
                         ResultCode.NOT_OWNER,
-                        "the reservation was not recorded or the shard has a new owner",
+                        "the reservation was not recorded or the shard has another owner",
                         RETRY_AFTER_MILLIS));
         // If the record was rejected, for instance because the backlog is full, the shard is still owned, and the
         // program's next turn has to start.
@@ -282,6 +282,6 @@
         expired.forEach(request -> listener.onRefused(
                 request.requestId(),
                 Refusal.notRun(
-                        ResultCode.DEADLINE_PASSED, "the deadline passed while the turn waited for an earlier one")));
+                        ResultCode.DEADLINE_PASSED, "the deadline passed while the turn waited on an earlier one")));
     }
 }
