--- a/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointForm.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointForm.java
@@ -24,12 +24,12 @@
             writer.putBoolean(outcome.accepted());
             writer.putLong(outcome.version());
         });
-        return writer.deflated();
+        return writer.compressed();
     }
 
     /** Reads a state; empty when the octets are no state, or hold a record that the reader cannot read. */
     static Optional<ConfigurationState> decode(byte[] octets, RecordReader recordReader) {
-        return StateReader.read(octets, reader -> read(reader, recordReader));
+        return StateReader.readCompressed(octets, reader -> read(reader, recordReader));
     }
 
     private static Optional<ConfigurationState> read(StateReader reader, RecordReader recordReader) {
--- a/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointPublisher.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointPublisher.java
@@ -51,7 +51,7 @@
         if (!knowsAll || session.next() == 0 || partsUnderWay > 0) {
             return;
         }
-        if (schedule.due(nowMillis, configuration.lastCheckpointCoversBelow(), session.firstKept())) {
+        if (schedule.isDue(nowMillis, configuration.lastCheckpointCoversBelow(), session.firstKept())) {
             publish(nowMillis);
         }
     }
--- a/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
@@ -179,7 +179,7 @@
         if (!complete) {
             return List.of();
         }
-        List<byte[]> parts = CheckpointParts.cut(checkpoint(), maximumPartBytes);
+        List<byte[]> parts = CheckpointParts.split(checkpoint(), maximumPartBytes);
         List<CheckpointChange> changes = new ArrayList<>(parts.size());
         for (int part = 0; part < parts.size(); part++) {
             changes.add(new CheckpointChange(next, part, parts.size(), parts.get(part)));
--- a/core/src/main/java/org/quetzalshunt/core/log/Backlog.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/Backlog.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Records that wait for their append, in the order in which they came, bounded by count and by octets. */
+/** Submitted records in order of arrival, bounded by number and total size. */
 final class Backlog {
-    /** A record and who hears what became of it. */
+    /** A record and the callback for its outcome. */
     record Pending(byte[] data, Consumer<Submission> whenFolded) {}
 
     private final Deque<Pending> waiting = new ArrayDeque<>();
@@ -40,22 +40,22 @@
         return !waiting.isEmpty();
     }
 
-    /** Takes as many waiting records as fit; they count towards the bounds until they are settled. */
-    List<Pending> take(int maximumBatchBytes) {
-        List<Pending> taken = new ArrayList<>();
-        int size = 0;
+    /** Removes as many waiting records as fit into a batch. They count towards the bounds until they are settled. */
+    List<Pending> pollBatch(int maximumBatchBytes) {
+        List<Pending> batch = new ArrayList<>();
+        int batchBytes = 0;
         while (!waiting.isEmpty()) {
-            int more = BatchFrame.recordBytes(waiting.peekFirst().data());
-            if (size + more > maximumBatchBytes) {
+            int recordBytes = BatchFrame.recordBytes(waiting.peekFirst().data());
+            if (batchBytes + recordBytes > maximumBatchBytes) {
                 break;
             }
-            size += more;
-            taken.add(waiting.removeFirst());
+            batchBytes += recordBytes;
+            batch.add(waiting.removeFirst());
         }
-        return taken;
+        return batch;
     }
 
-    void settled(Pending pending) {
+    void release(Pending pending) {
         records--;
         bytes -= pending.data().length;
     }
--- a/core/src/main/java/org/quetzalshunt/core/log/Backoff.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/Backoff.java
@@ -3,12 +3,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Exponential back-off with jitter. Guards against a stampede: after an outage every node retries at once and the log
- * refuses most of them again; spread over half to the whole of a growing delay, they arrive apart.
+ * Exponential back-off with jitter. After an outage, simultaneous retries of all nodes would overload the log again.
+ * Each retry is therefore delayed by a random time between half and all of an exponentially growing delay.
  */
 final class Backoff {
-    private static final long SHORTEST_MILLIS = 20;
-    private static final long LONGEST_MILLIS = 2_000;
+    private static final long MINIMUM_DELAY_MILLIS = 20;
+    private static final long MAXIMUM_DELAY_MILLIS = 2_000;
     private static final int MAXIMUM_DOUBLINGS = 7;
 
     private final SplittableRandom random;
@@ -24,9 +24,10 @@
     }
 
     void failed(long nowMillis) {
-        long ceiling = Math.min(LONGEST_MILLIS, SHORTEST_MILLIS << Math.min(failures, MAXIMUM_DOUBLINGS));
+        long maximumMillis =
+                Math.min(MAXIMUM_DELAY_MILLIS, MINIMUM_DELAY_MILLIS << Math.min(failures, MAXIMUM_DOUBLINGS));
         failures++;
-        readyMillis = nowMillis + ceiling / 2 + random.nextLong(ceiling / 2 + 1);
+        readyMillis = nowMillis + maximumMillis / 2 + random.nextLong(maximumMillis / 2 + 1);
     }
 
     void succeeded() {
@@ -34,11 +35,11 @@
         readyMillis = Long.MIN_VALUE;
     }
 
-    boolean ready(long nowMillis) {
+    boolean isReady(long nowMillis) {
         return nowMillis >= readyMillis;
     }
 
-    boolean failing() {
+    boolean isFailing() {
         return failures > 0;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/log/Batch.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/Batch.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What one append carries.
+ * A group of records that is appended as one log entry.
  *
- * @param writer unique name of the writing process's life
- * @param sequence number of the batch at its writer, rising
- * @param basedOn fold position of the writer when it made the batch; see {@link WriterTable}
- * @param records octets of each record
+ * @param writer unique id of one run of the writing process
+ * @param sequence number of the batch, increasing per writer
+ * @param basedOn next offset that the writer would have applied when it made the batch; see {@link BatchDeduplicator}
+ * @param records bytes of each record
  */
 record Batch(String writer, long sequence, long basedOn, List<byte[]> records) {}
--- a/core/src/main/java/org/quetzalshunt/core/log/BatchFrame.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/BatchFrame.java
@@ -8,8 +8,8 @@
 import org.agrona.concurrent.UnsafeBuffer;
 
 /**
- * Binary form of a {@link Batch}, little-endian: version byte, sequence, base, length and octets of the writer's name,
- * count of records, then length and octets of each.
+ * Binary encoding of a {@link Batch}, little-endian: version byte, sequence, base, length and bytes of the writer's id,
+ * number of records, then length and bytes of each record.
  */
 final class BatchFrame {
     private static final byte VERSION = 1;
@@ -51,7 +51,7 @@
         return frame;
     }
 
-    /** Reads a frame; empty for octets of any other form, which a foreign writer may have appended. */
+    /** Decodes a frame; empty if the bytes are malformed, since other software may have appended them. */
     static Optional<Batch> decode(byte[] frame) {
         if (frame.length < FIXED_BYTES || frame[0] != VERSION) {
             return Optional.empty();
--- a/core/src/main/java/org/quetzalshunt/core/log/CheckpointParts.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/CheckpointParts.java
@@ -10,46 +10,46 @@
 import org.agrona.concurrent.UnsafeBuffer;
 
 /**
- * Cuts the octets of a state into parts that a record can hold, and joins them. Each part starts with the checksum of
- * the whole, so that parts of two checkpoints of the same offset, written by two VMs, are never joined to one.
+ * Splits an encoded state into parts that fit into a record, and reassembles them. Each part starts with the checksum
+ * of the whole state, so that parts of two checkpoints of the same offset, written by two VMs, are never combined.
  */
 public final class CheckpointParts {
     private static final int MAXIMUM_PARTS = 4_096;
-    private static final int UNFINISHED = 4;
+    private static final int MAXIMUM_INCOMPLETE = 4;
 
-    private final Map<Key, byte[][]> unfinished = new LinkedHashMap<>();
+    private final Map<Key, byte[][]> incomplete = new LinkedHashMap<>();
 
     private CheckpointParts() {}
 
-    /** Makes a joiner that holds no part yet. */
+    /** Creates an assembler without parts. */
     public static CheckpointParts create() {
         return new CheckpointParts();
     }
 
     /**
-     * Cuts a state; at least one part.
+     * Splits a state into one or more parts.
      *
-     * @param maximumPartBytes octets of state in one part, beside its checksum
+     * @param maximumPartBytes maximum bytes of state in one part, not counting its checksum
      */
-    public static List<byte[]> cut(byte[] state, int maximumPartBytes) {
+    public static List<byte[]> split(byte[] state, int maximumPartBytes) {
         int parts = Math.max(1, (state.length + maximumPartBytes - 1) / maximumPartBytes);
         long checksum = checksum(state);
-        List<byte[]> cut = new ArrayList<>(parts);
+        List<byte[]> split = new ArrayList<>(parts);
         for (int part = 0; part < parts; part++) {
             int from = part * maximumPartBytes;
             int length = Math.min(maximumPartBytes, state.length - from);
             byte[] octets = new byte[Long.BYTES + length];
             new UnsafeBuffer(octets).putLong(0, checksum);
             System.arraycopy(state, from, octets, Long.BYTES, length);
-            cut.add(octets);
+            split.add(octets);
         }
-        return cut;
+        return split;
     }
 
     /**
-     * Takes a part; gives the state when it was the last one missing.
+     * Adds a part. Returns the state if the part completes it and the checksum is correct.
      *
-     * @param coversBelow offset that the checkpoint names
+     * @param coversBelow offset below which the checkpoint covers the stream
      * @param part number of the part, from 0
      * @param parts number of parts
      */
@@ -59,32 +59,32 @@
         }
         long checksum = new UnsafeBuffer(octets).getLong(0);
         Key key = new Key(coversBelow, parts, checksum);
-        byte[][] known = unfinished.computeIfAbsent(key, ignored -> new byte[parts][]);
-        known[part] = Arrays.copyOfRange(octets, Long.BYTES, octets.length);
-        if (Arrays.stream(known).anyMatch(missing -> missing == null)) {
-            bound();
+        byte[][] collected = incomplete.computeIfAbsent(key, ignored -> new byte[parts][]);
+        collected[part] = Arrays.copyOfRange(octets, Long.BYTES, octets.length);
+        if (Arrays.stream(collected).anyMatch(received -> received == null)) {
+            evictOldest();
             return Optional.empty();
         }
-        unfinished.remove(key);
-        byte[] state = join(known);
+        incomplete.remove(key);
+        byte[] state = join(collected);
         return checksum(state) == checksum ? Optional.of(state) : Optional.empty();
     }
 
-    private void bound() {
-        if (unfinished.size() > UNFINISHED) {
-            unfinished.remove(unfinished.keySet().iterator().next());
+    private void evictOldest() {
+        if (incomplete.size() > MAXIMUM_INCOMPLETE) {
+            incomplete.remove(incomplete.keySet().iterator().next());
         }
     }
 
     private static byte[] join(byte[][] parts) {
-        byte[] whole =
+        byte[] joined =
                 new byte[Arrays.stream(parts).mapToInt(part -> part.length).sum()];
         int position = 0;
         for (byte[] part : parts) {
-            System.arraycopy(part, 0, whole, position, part.length);
+            System.arraycopy(part, 0, joined, position, part.length);
             position += part.length;
         }
-        return whole;
+        return joined;
     }
 
     private static long checksum(byte[] octets) {
--- a/core/src/main/java/org/quetzalshunt/core/log/CheckpointSchedule.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/CheckpointSchedule.java
@@ -3,69 +3,69 @@
 import java.util.SplittableRandom;
 
 /**
- * Says when a process should publish a checkpoint, without agreement: every process draws a turn at random, the one
- * whose turn comes first publishes, and the others draw anew when they fold that checkpoint. Two that publish at once do
- * no harm, since a checkpoint never replaces anything newer.
+ * Decides when a process should publish a checkpoint, without coordination. Every process draws a random time. The
+ * first one publishes, and the others draw a new time when they read that checkpoint. Two concurrent checkpoints do no
+ * harm, since a checkpoint never replaces newer state.
  *
- * <p>Guards against retention taking the only copy of state that is still in force: a document put months ago, say. It
- * would show when the next process starts and does not know the document.
+ * <p>Checkpoints keep state that is older than the log's retention. Without them a process that starts later would not
+ * get, for instance, a document that was put months ago.
  */
 public final class CheckpointSchedule {
-    /** Checkpoints in one span of retention, at least, as long as one process lives for the longest turn. */
-    private static final int CHECKPOINTS_PER_RETENTION = 4;
+    /** Minimum number of checkpoints per retention period, provided that one process runs for a whole interval. */
+    private static final int MINIMUM_CHECKPOINTS_PER_RETENTION = 4;
 
-    /** Spread of the turns when the newest checkpoint no longer helps a late starter. */
-    private static final long URGENT_SPREAD_MILLIS = 2_000;
+    /** Range of random delays when the newest checkpoint no longer suffices to start a process. */
+    private static final long URGENT_MAXIMUM_DELAY_MILLIS = 2_000;
 
-    private final long longestMillis;
+    private final long maximumIntervalMillis;
     private final SplittableRandom random;
     private boolean started;
     private boolean urgent;
-    private long turnMillis;
-    private long newestCoversBelow = -1;
+    private long nextPublishMillis;
+    private long lastCoversBelow = -1;
 
-    private CheckpointSchedule(long longestMillis, long seed) {
-        this.longestMillis = longestMillis;
+    private CheckpointSchedule(long maximumIntervalMillis, long seed) {
+        this.maximumIntervalMillis = maximumIntervalMillis;
         this.random = new SplittableRandom(seed);
     }
 
     /**
-     * Makes a schedule.
+     * Creates a schedule.
      *
      * @param retentionMillis how long the log keeps a record
      */
     public static CheckpointSchedule create(long retentionMillis, long seed) {
-        return new CheckpointSchedule(Math.max(2, retentionMillis / CHECKPOINTS_PER_RETENTION), seed);
+        return new CheckpointSchedule(Math.max(2, retentionMillis / MINIMUM_CHECKPOINTS_PER_RETENTION), seed);
     }
 
     /**
-     * Whether it is this process's turn. True once a turn; the next is drawn at once.
+     * Whether this process should publish a checkpoint now. When it returns true, the next time has been drawn.
      *
-     * @param coversBelow offset below which the newest checkpoint folded covers the stream, -1 for none
-     * @param firstKept oldest offset that the log keeps
+     * @param coversBelow offset below which the newest checkpoint read covers the stream; -1 if there is none
+     * @param firstKept oldest offset that the log still keeps
      */
-    public boolean due(long nowMillis, long coversBelow, long firstKept) {
-        if (!started || coversBelow > newestCoversBelow) {
+    public boolean isDue(long nowMillis, long coversBelow, long firstKept) {
+        if (!started || coversBelow > lastCoversBelow) {
             started = true;
-            newestCoversBelow = coversBelow;
+            lastCoversBelow = coversBelow;
             urgent = false;
-            drawTurn(nowMillis);
+            drawNextTime(nowMillis);
         }
-        // A late starter needs every record from the checkpoint's offset on.
-        boolean lacking = firstKept > 0 && coversBelow < firstKept;
-        if (lacking && !urgent) {
+        // A process that starts now needs the checkpoint and every record from its offset on.
+        boolean insufficient = firstKept > 0 && coversBelow < firstKept;
+        if (insufficient && !urgent) {
             urgent = true;
-            turnMillis = Math.min(turnMillis, nowMillis + random.nextLong(URGENT_SPREAD_MILLIS));
+            nextPublishMillis = Math.min(nextPublishMillis, nowMillis + random.nextLong(URGENT_MAXIMUM_DELAY_MILLIS));
         }
-        if (nowMillis < turnMillis) {
+        if (nowMillis < nextPublishMillis) {
             return false;
         }
         urgent = false;
-        drawTurn(nowMillis);
+        drawNextTime(nowMillis);
         return true;
     }
 
-    private void drawTurn(long nowMillis) {
-        turnMillis = nowMillis + longestMillis / 2 + random.nextLong(longestMillis / 2);
+    private void drawNextTime(long nowMillis) {
+        nextPublishMillis = nowMillis + maximumIntervalMillis / 2 + random.nextLong(maximumIntervalMillis / 2);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/log/LogEntry.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/LogEntry.java
@@ -1,9 +1,9 @@
 package org.quetzalshunt.core.log;
 
 /**
- * One record of a stream as the log service keeps it.
+ * One entry of a stream, as stored by the log service.
  *
- * @param offset place in the stream, counted from 0 without gaps
- * @param data octets as they were appended; not to be changed
+ * @param offset position in the stream, counted from 0 without gaps
+ * @param data appended bytes; must not be modified
  */
 public record LogEntry(long offset, byte[] data) {}
--- a/core/src/main/java/org/quetzalshunt/core/log/LogTransport.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/LogTransport.java
@@ -1,8 +1,8 @@
 package org.quetzalshunt.core.log;
 
 /**
- * What a session asks of its host. Every call gets exactly one answer, by one of the session's {@code on…} methods on
- * the session's thread, at the latest after the transport's own deadline.
+ * Asynchronous access to the log service. Each call is answered exactly once, by one of the session's {@code on…}
+ * methods on the session's thread, at the latest after the transport's own deadline.
  */
 public interface LogTransport {
     /** Appends one batch to a stream; answered by {@code onAppended} or {@code onAppendFailed}. */
@@ -11,7 +11,8 @@
     /**
      * Reads a stream; answered by {@code onRead} or {@code onReadFailed}.
      *
-     * @param waitMillis how long the log may hold the answer while it has no record at {@code from}
+     * @param from first offset to read
+     * @param waitMillis how long the log may delay its answer while it has no entry at {@code from}
      */
     void read(String stream, long from, long waitMillis);
 }
--- a/core/src/main/java/org/quetzalshunt/core/log/ReadAnswer.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/ReadAnswer.java
@@ -5,8 +5,8 @@
 /**
  * Answer of the log service to a read.
  *
- * @param first oldest offset still kept
- * @param next offset that the next append gets
- * @param entries records from the offset asked for on, contiguous; a part of what is there when that is large
+ * @param first oldest offset that the log still keeps
+ * @param next offset that the next append will get
+ * @param entries consecutive entries from the requested offset on; may end before {@code next}
  */
 public record ReadAnswer(long first, long next, List<LogEntry> entries) {}
--- a/core/src/main/java/org/quetzalshunt/core/log/StateReader.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/StateReader.java
@@ -8,45 +8,45 @@
 import java.util.zip.Inflater;
 import org.agrona.concurrent.UnsafeBuffer;
 
-/** Reads what a {@link StateWriter} wrote. */
+/** Decodes a state that was encoded with a {@link StateWriter}. */
 public final class StateReader {
-    /** More than this is no state of this program; it bounds what a few octets can unfold to. */
+    /** Above any real state; limits the memory that a small, corrupt compressed input can use. */
     private static final int MAXIMUM_BYTES = 1024 * 1024 * 1024;
 
     private final UnsafeBuffer buffer;
     private int position;
 
-    private StateReader(byte[] octets) {
-        this.buffer = new UnsafeBuffer(octets);
+    private StateReader(byte[] bytes) {
+        this.buffer = new UnsafeBuffer(bytes);
     }
 
     /**
-     * Reads a whole state that was not deflated; empty when the octets are none.
+     * Decodes an uncompressed state; empty if the bytes are truncated or the state is rejected.
      *
-     * @param form reads the values in the order in which they were written; an empty result refuses the state
+     * @param decoder reads the values in the order in which they were written; an empty result rejects the state
      */
-    public static <T> Optional<T> readPlain(byte[] octets, Function<StateReader, Optional<T>> form) {
+    public static <T> Optional<T> readUncompressed(byte[] bytes, Function<StateReader, Optional<T>> decoder) {
         try {
-            return form.apply(new StateReader(octets));
-        } catch (IndexOutOfBoundsException noState) {
+            return decoder.apply(new StateReader(bytes));
+        } catch (IndexOutOfBoundsException corrupt) {
             return Optional.empty();
         }
     }
 
     /**
-     * Reads a whole deflated state; empty when the octets are none.
+     * Decodes a compressed state; empty if the bytes are corrupt or truncated or the state is rejected.
      *
-     * @param form reads the values in the order in which they were written; an empty result refuses the state
+     * @param decoder reads the values in the order in which they were written; an empty result rejects the state
      */
-    public static <T> Optional<T> read(byte[] deflated, Function<StateReader, Optional<T>> form) {
+    public static <T> Optional<T> readCompressed(byte[] compressed, Function<StateReader, Optional<T>> decoder) {
         try {
-            return form.apply(new StateReader(inflate(deflated)));
-        } catch (DataFormatException | IndexOutOfBoundsException noState) {
+            return decoder.apply(new StateReader(inflate(compressed)));
+        } catch (DataFormatException | IndexOutOfBoundsException corrupt) {
             return Optional.empty();
         }
     }
 
-    /** Reads a number of 32 bits. */
+    /** Reads a 32-bit integer. */
     public int getInt() {
         buffer.boundsCheck(position, Integer.BYTES);
         int value = buffer.getInt(position, StateWriter.ORDER);
@@ -54,7 +54,7 @@
         return value;
     }
 
-    /** Reads a number of 64 bits. */
+    /** Reads a 64-bit integer. */
     public long getLong() {
         buffer.boundsCheck(position, Long.BYTES);
         long value = buffer.getLong(position, StateWriter.ORDER);
@@ -62,37 +62,37 @@
         return value;
     }
 
-    /** Reads a truth value. */
+    /** Reads a boolean. */
     public boolean getBoolean() {
         buffer.boundsCheck(position, Byte.BYTES);
         return buffer.getByte(position++) != 0;
     }
 
-    /** Reads octets. */
+    /** Reads a byte array. */
     public byte[] getBytes() {
         int length = getInt();
         buffer.boundsCheck(position, length);
-        byte[] octets = new byte[length];
-        buffer.getBytes(position, octets);
+        byte[] bytes = new byte[length];
+        buffer.getBytes(position, bytes);
         position += length;
-        return octets;
+        return bytes;
     }
 
-    /** Reads a text. */
+    /** Reads a string. */
     public String getText() {
         return new String(getBytes(), StandardCharsets.UTF_8);
     }
 
-    private static byte[] inflate(byte[] octets) throws DataFormatException {
+    private static byte[] inflate(byte[] bytes) throws DataFormatException {
         Inflater inflater = new Inflater();
         try {
-            inflater.setInput(octets);
-            ByteArrayOutputStream out = new ByteArrayOutputStream(octets.length);
-            byte[] chunk = new byte[StateWriter.CHUNK];
+            inflater.setInput(bytes);
+            ByteArrayOutputStream out = new ByteArrayOutputStream(bytes.length);
+            byte[] chunk = new byte[StateWriter.CHUNK_BYTES];
             while (!inflater.finished()) {
                 int count = inflater.inflate(chunk);
                 if (count == 0 && (inflater.needsInput() || inflater.needsDictionary())) {
-                    throw new DataFormatException("the octets end early");
+                    throw new DataFormatException("the compressed octets end early");
                 }
                 out.write(chunk, 0, count);
                 if (out.size() > MAXIMUM_BYTES) {
--- a/core/src/main/java/org/quetzalshunt/core/log/StateWriter.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/StateWriter.java
@@ -6,66 +6,68 @@
 import java.util.zip.Deflater;
 import org.agrona.ExpandableArrayBuffer;
 
-/** Writes the values of a state one behind the other, little-endian; {@link StateReader} reads them in the same order. */
+/** Encodes a state as a sequence of little-endian values, which {@link StateReader} reads in the same order. */
 public final class StateWriter {
     static final ByteOrder ORDER = ByteOrder.LITTLE_ENDIAN;
-    static final int CHUNK = 64 * 1024;
+    static final int CHUNK_BYTES = 64 * 1024;
 
-    private final ExpandableArrayBuffer buffer = new ExpandableArrayBuffer(CHUNK);
+    private final ExpandableArrayBuffer buffer = new ExpandableArrayBuffer(CHUNK_BYTES);
     private int position;
 
     private StateWriter() {}
 
-    /** Makes a writer without values. */
+    /** Creates an empty writer. */
     public static StateWriter create() {
         return new StateWriter();
     }
 
-    /** Writes a number of 32 bits. */
+    /** Writes a 32-bit integer. */
     public void putInt(int value) {
         buffer.putInt(position, value, ORDER);
         position += Integer.BYTES;
     }
 
-    /** Writes a number of 64 bits. */
+    /** Writes a 64-bit integer. */
     public void putLong(long value) {
         buffer.putLong(position, value, ORDER);
         position += Long.BYTES;
     }
 
-    /** Writes a truth value. */
+    /** Writes a boolean as one byte. */
     public void putBoolean(boolean value) {
         buffer.putByte(position, (byte) (value ? 1 : 0));
         position += Byte.BYTES;
     }
 
-    /** Writes octets with their length. */
-    public void putBytes(byte[] octets) {
-        putInt(octets.length);
-        buffer.putBytes(position, octets);
-        position += octets.length;
+    /** Writes a byte array, preceded by its length. */
+    public void putBytes(byte[] bytes) {
+        putInt(bytes.length);
+        buffer.putBytes(position, bytes);
+        position += bytes.length;
     }
 
-    /** Writes a text with its length. */
+    /** Writes a string in UTF-8, preceded by its length in bytes. */
     public void putText(String text) {
         putBytes(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** What was written, as it is: for a large state, whose deflation would hold the folding thread up. */
-    public byte[] octets() {
-        byte[] octets = new byte[position];
-        buffer.getBytes(0, octets);
-        return octets;
+    /**
+     * The written bytes, uncompressed. For large states, whose compression would block the thread that applies records.
+     */
+    public byte[] uncompressed() {
+        byte[] bytes = new byte[position];
+        buffer.getBytes(0, bytes);
+        return bytes;
     }
 
-    /** What was written, deflated. */
-    public byte[] deflated() {
+    /** The written bytes, compressed with DEFLATE. */
+    public byte[] compressed() {
         Deflater deflater = new Deflater();
         try {
             deflater.setInput(buffer.byteArray(), 0, position);
             deflater.finish();
             ByteArrayOutputStream out = new ByteArrayOutputStream();
-            byte[] chunk = new byte[CHUNK];
+            byte[] chunk = new byte[CHUNK_BYTES];
             while (!deflater.finished()) {
                 out.write(chunk, 0, deflater.deflate(chunk));
             }
--- a/core/src/main/java/org/quetzalshunt/core/log/StreamSession.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/StreamSession.java
@@ -6,12 +6,12 @@
 import java.util.function.Consumer;
 
 /**
- * One stream at one process: folds its records in the order of the log, appends records in groups, and finds out what
- * became of an append whose answer was lost. Used by one thread; the host calls {@link #tick} every few milliseconds
- * and passes the transport's answers on.
+ * A process's client of one stream. It applies the stream's records in log order to a {@link LogFold}, appends
+ * submitted records in batches, and resolves appends whose answer was lost by reading the stream. Not thread-safe: one
+ * thread calls {@link #tick} every few milliseconds and passes on the transport's answers.
  *
- * <p>At most one append and one read are under way. When an append's offset is the fold position, the batch is folded
- * at once, without reading it back; otherwise what lies before it is read first.
+ * <p>At most one append and one read are pending. When an append's offset is the next one to apply, the batch is
+ * applied at once, without reading it back; otherwise the records before it are read first.
  */
 public final class StreamSession {
     private final String stream;
@@ -19,34 +19,34 @@
     private final String writer;
     private final LogTransport transport;
     private final LogFold fold;
-    private final WriterTable writers = WriterTable.create();
+    private final BatchDeduplicator deduplicator = BatchDeduplicator.create();
     private final Backlog backlog;
     private final Backoff appendBackoff;
     private final Backoff readBackoff;
 
     private long commitIntervalMillis;
-    private long next;
+    private long nextOffset;
     private long firstKept;
     private long sequence;
-    private InFlight inFlight;
+    private InFlightBatch inFlight;
     private boolean appendUnanswered;
     private long appendStartedMillis;
-    private boolean everAppended;
+    private boolean hasAppended;
 
     private boolean readUnanswered;
     private long readFrom;
     private long readStartedMillis;
-    /** Reads to the end that were asked for; a read counts for those asked for before it started. */
-    private long wantedSerial = 1;
+    /** Number of the newest request to read to the end. A read satisfies the requests made before it started. */
+    private long requestedReadSerial = 1;
 
-    private long startedSerial;
-    private long answeredSerial;
-    private boolean everRead;
+    private long startedReadSerial;
+    private long completedReadSerial;
+    private boolean hasRead;
     private long lastReadMillis;
 
-    private boolean folding;
-    private boolean pumping;
-    private boolean pumpAgain;
+    private boolean applying;
+    private boolean startingDueCalls;
+    private boolean startDueCallsAgain;
 
     private StreamSession(String stream, StreamSettings settings, String writer, LogTransport transport, LogFold fold) {
         this.stream = stream;
@@ -61,9 +61,9 @@
     }
 
     /**
-     * Makes a session at offset 0; it starts to read with the first tick.
+     * Creates a session at offset 0, which starts to read with the first tick.
      *
-     * @param writerId name of this process's life, never used by another
+     * @param writerId unique id of this run of the process, never used again
      */
     public static StreamSession create(
             String stream, StreamSettings settings, String writerId, LogTransport transport, LogFold fold) {
@@ -76,12 +76,13 @@
     }
 
     /**
-     * Hands a record in.
+     * Submits a record to be appended.
      *
-     * @param whenFolded called once, right after the record was folded, or at once when it is refused
+     * @param whenFolded called exactly once: directly after the record was applied, at once when it is rejected, or
+     *     when its outcome can no longer be found out
      */
     public void submit(long nowMillis, byte[] record, Consumer<Submission> whenFolded) {
-        if (BatchFrame.recordBytes(record) > roomInBatch()) {
+        if (BatchFrame.recordBytes(record) > batchCapacityBytes()) {
             whenFolded.accept(Submission.rejectedTooLarge());
             return;
         }
@@ -89,149 +90,149 @@
             whenFolded.accept(Submission.rejectedBacklogFull());
             return;
         }
-        pump(nowMillis);
+        startDueCalls(nowMillis);
     }
 
-    /** The append under way took effect at an offset. */
+    /** The pending append took effect at an offset. */
     public void onAppended(long nowMillis, long offset) {
         appendUnanswered = false;
         appendBackoff.succeeded();
-        if (inFlight != null && inFlight.is(InFlight.State.SENT)) {
+        if (inFlight != null && inFlight.is(InFlightBatch.State.AWAITING_ANSWER)) {
             settleAppended(offset);
         }
-        pump(nowMillis);
+        startDueCalls(nowMillis);
     }
 
     /**
-     * The append under way got no good answer.
+     * The pending append failed or was not answered.
      *
-     * @param mayHaveTakenEffect false only when it certainly is not in the log and will not be
+     * @param mayHaveTakenEffect false only if the batch certainly is not in the log and never will be
      */
     public void onAppendFailed(long nowMillis, boolean mayHaveTakenEffect) {
         appendUnanswered = false;
         appendBackoff.failed(nowMillis);
-        if (inFlight == null || !inFlight.is(InFlight.State.SENT)) {
+        if (inFlight == null || !inFlight.is(InFlightBatch.State.AWAITING_ANSWER)) {
             return;
         }
         if (mayHaveTakenEffect) {
-            // A read that is under way may have been answered before the append took effect: only one that starts
-            // from now on proves that the batch is missing.
-            inFlight.readBack(++wantedSerial);
+            // A pending read may have been served before the append took effect, so only a read that starts from now
+            // on can show that the batch is missing.
+            inFlight.requireReadBack(++requestedReadSerial);
         } else {
-            inFlight.refused();
-            giveUpIfInGap();
+            inFlight.markRejected();
+            settleAsUnresolvedIfInGap();
         }
-        pump(nowMillis);
+        startDueCalls(nowMillis);
     }
 
-    /** The read under way was answered. */
+    /** The pending read was answered. */
     public void onRead(long nowMillis, ReadAnswer answer) {
         if (answer.next() < readFrom) {
-            // The log ends before a record that it gave out: it lost records, and nothing it says is current.
+            // The log ends before an offset that it has already returned, so it lost records or is out of date.
             onReadFailed(nowMillis);
             return;
         }
         readUnanswered = false;
         readBackoff.succeeded();
         firstKept = Math.max(firstKept, answer.first());
-        if (answer.first() > next) {
-            passGap(answer.first());
+        if (answer.first() > nextOffset) {
+            skipGap(answer.first());
         }
-        foldEntries(answer.entries());
-        if (next >= answer.next()) {
-            everRead = true;
-            answeredSerial = startedSerial;
-            // When the read started, not when it was answered: that is when its news was surely current.
+        applyEntries(answer.entries());
+        if (nextOffset >= answer.next()) {
+            hasRead = true;
+            completedReadSerial = startedReadSerial;
+            // The start of the read, not its answer: the state is certain to be current only as of the start.
             lastReadMillis = readStartedMillis;
         }
         settleReadBack();
-        pump(nowMillis);
+        startDueCalls(nowMillis);
     }
 
-    /** The read under way got no good answer. */
+    /** The pending read failed or was not answered. */
     public void onReadFailed(long nowMillis) {
         readUnanswered = false;
         readBackoff.failed(nowMillis);
     }
 
-    /** Starts what is due. */
+    /** Starts the appends and reads that are due. */
     public void tick(long nowMillis) {
-        pump(nowMillis);
+        startDueCalls(nowMillis);
     }
 
-    /** Asks for one read to the end that starts from now on; {@link #caughtUp} says when it is done. */
+    /** Requests a read to the end of the stream that starts from now on. {@link #caughtUp} is true once it is done. */
     public void follow(long nowMillis) {
-        wantedSerial++;
-        pump(nowMillis);
+        requestedReadSerial++;
+        startDueCalls(nowMillis);
     }
 
-    /** Whether the stream was read to its end since the start and since the last {@link #follow}. */
+    /** Whether the stream was read to its end since the last {@link #follow}, or at all if there was none. */
     public boolean caughtUp() {
-        return answeredSerial >= wantedSerial;
+        return completedReadSerial >= requestedReadSerial;
     }
 
-    /** Offset that is folded next. */
+    /** Offset that is applied next. */
     public long next() {
-        return next;
+        return nextOffset;
     }
 
-    /** Oldest offset that the log said it keeps. */
+    /** Oldest offset that the log still keeps, as of the last read. */
     public long firstKept() {
         return firstKept;
     }
 
-    /** Records handed in and not yet settled. */
+    /** Number of submitted records whose outcome has not been reported. */
     public int backlog() {
         return backlog.records();
     }
 
-    /** Octets of the records handed in and not yet settled. */
+    /** Total size of the submitted records whose outcome has not been reported. */
     public long backlogBytes() {
         return backlog.bytes();
     }
 
-    /** When the last read that reached the end of the stream started. */
+    /** Start time of the last read that reached the end of the stream. */
     public OptionalLong lastReadMillis() {
-        return everRead ? OptionalLong.of(lastReadMillis) : OptionalLong.empty();
+        return hasRead ? OptionalLong.of(lastReadMillis) : OptionalLong.empty();
     }
 
-    /** Whether the log answered the last calls. */
+    /** Whether the stream was read to its end at least once and the last append and the last read succeeded. */
     public boolean available() {
-        return everRead && !appendBackoff.failing() && !readBackoff.failing();
+        return hasRead && !appendBackoff.isFailing() && !readBackoff.isFailing();
     }
 
-    /** Changes the least time between appends when the number of appending nodes has changed. */
+    /** Sets the minimum time between appends; see {@link CommitInterval}. */
     public void setCommitInterval(long intervalMillis) {
         commitIntervalMillis = intervalMillis;
     }
 
-    private int roomInBatch() {
+    private int batchCapacityBytes() {
         return settings.maximumBatchBytes() - BatchFrame.overhead(writer);
     }
 
     private void settleAppended(long offset) {
-        if (offset == next) {
-            foldBatch(offset, inFlight.batch());
-            moveTo(offset + 1);
-            reviveIfVoid();
+        if (offset == nextOffset) {
+            applyBatch(offset, inFlight.batch());
+            advanceTo(offset + 1);
+            retryIfTooOld();
             return;
         }
-        if (offset > next) {
-            inFlight.landed();
-            wantedSerial++;
+        if (offset > nextOffset) {
+            inFlight.markAppended();
+            requestedReadSerial++;
             return;
         }
-        // The fold stands beyond it without having met it: a gap took it, or it landed too late to count.
-        reviveIfVoid();
-        if (inFlight != null && !inFlight.is(InFlight.State.READY)) {
-            giveUp();
+        // The fold is past the offset without having applied the batch: it was lost in a gap or is void for its age.
+        retryIfTooOld();
+        if (inFlight != null && !inFlight.is(InFlightBatch.State.READY_TO_APPEND)) {
+            settleAsUnresolved();
         }
     }
 
-    /** A batch that landed too late to count can be appended under another number, see {@link WriterTable}. */
-    private void reviveIfVoid() {
-        if (inFlight != null && inFlight.isVoidAt(next) && !inFlight.mayLieInGap()) {
-            inFlight.ready();
+    /** Retries a batch that is void for its age; it gets a new sequence number, see {@link BatchDeduplicator}. */
+    private void retryIfTooOld() {
+        if (inFlight != null && inFlight.isTooOldAt(nextOffset) && !inFlight.mayBeInGap()) {
+            inFlight.markReady();
         }
     }
 
@@ -239,88 +240,88 @@
         if (inFlight == null) {
             return;
         }
-        if (inFlight.readBackBy(answeredSerial)) {
-            inFlight.ready();
-            giveUpIfInGap();
+        if (inFlight.isReadBackBy(completedReadSerial)) {
+            inFlight.markReady();
+            settleAsUnresolvedIfInGap();
             return;
         }
-        if (inFlight.is(InFlight.State.LANDED)) {
-            reviveIfVoid();
+        if (inFlight.is(InFlightBatch.State.AWAITING_FOLD)) {
+            retryIfTooOld();
         }
     }
 
-    private void passGap(long first) {
-        next = first;
+    private void skipGap(long first) {
+        nextOffset = first;
         fold.gap(first);
         if (inFlight == null) {
             return;
         }
-        inFlight.gapPassed();
-        if (inFlight.is(InFlight.State.READY)) {
-            giveUpIfInGap();
+        inFlight.onGap();
+        if (inFlight.is(InFlightBatch.State.READY_TO_APPEND)) {
+            settleAsUnresolvedIfInGap();
         }
     }
 
-    private void giveUpIfInGap() {
-        // Appending again could bring the records twice: a reader that saw the first copy would skip the second, one
-        // that starts after the gap would not.
-        if (inFlight != null && inFlight.mayLieInGap()) {
-            giveUp();
+    private void settleAsUnresolvedIfInGap() {
+        // Appending it again could duplicate the records: a reader that saw the first copy would skip the second, but a
+        // reader that starts after the gap would apply it.
+        if (inFlight != null && inFlight.mayBeInGap()) {
+            settleAsUnresolved();
         }
     }
 
-    private void giveUp() {
-        InFlight lost = inFlight;
+    private void settleAsUnresolved() {
+        InFlightBatch unresolved = inFlight;
         inFlight = null;
-        settleAll(lost.pending(), Submission.unresolved());
+        settleAll(unresolved.pending(), Submission.unresolved());
     }
 
-    private void foldEntries(List<LogEntry> entries) {
+    private void applyEntries(List<LogEntry> entries) {
         for (LogEntry entry : entries) {
-            if (entry.offset() < next) {
+            if (entry.offset() < nextOffset) {
                 continue;
             }
-            if (entry.offset() > next) {
+            if (entry.offset() > nextOffset) {
                 return;
             }
-            foldEntry(entry);
-            moveTo(entry.offset() + 1);
+            applyEntry(entry);
+            advanceTo(entry.offset() + 1);
         }
     }
 
-    private void moveTo(long position) {
-        next = position;
+    private void advanceTo(long position) {
+        nextOffset = position;
         fold.foldedBelow(position);
     }
 
-    private void foldEntry(LogEntry entry) {
+    private void applyEntry(LogEntry entry) {
         Optional<Batch> batch = BatchFrame.decode(entry.data());
         if (batch.isEmpty()) {
             fold.malformed(entry.offset());
             return;
         }
-        foldBatch(entry.offset(), batch.get());
+        applyBatch(entry.offset(), batch.get());
     }
 
-    private void foldBatch(long offset, Batch batch) {
-        if (!writers.admit(offset, batch)) {
+    private void applyBatch(long offset, Batch batch) {
+        if (!deduplicator.accept(offset, batch)) {
             return;
         }
-        boolean own = inFlight != null && batch.writer().equals(writer) && inFlight.isNumber(batch.sequence());
-        List<Backlog.Pending> pending = own ? inFlight.pending() : List.of();
-        if (own) {
+        boolean isOwn = inFlight != null && batch.writer().equals(writer) && inFlight.hasSequence(batch.sequence());
+        List<Backlog.Pending> pending = isOwn ? inFlight.pending() : List.of();
+        if (isOwn) {
             inFlight = null;
         }
-        folding = true;
+        applying = true;
         try {
             for (int index = 0; index < batch.records().size(); index++) {
                 fold.apply(offset, batch.records().get(index), index);
-                if (own) {
+                if (isOwn) {
                     settle(pending.get(index), Submission.folded(offset));
                 }
             }
         } finally {
-            folding = false;
+            applying = false;
         }
     }
 
@@ -329,68 +330,71 @@
     }
 
     private void settle(Backlog.Pending pending, Submission submission) {
-        backlog.settled(pending);
+        backlog.release(pending);
         pending.whenFolded().accept(submission);
     }
 
-    /** Starts what is due, once at a time: a transport may answer, or a listener hand in more, while it runs. */
-    private void pump(long nowMillis) {
-        if (pumping || folding) {
-            pumpAgain = true;
+    /**
+     * Starts due appends and reads. Not reentrant: a call made meanwhile by an answer of the transport or a submission
+     * from a callback only causes another pass.
+     */
+    private void startDueCalls(long nowMillis) {
+        if (startingDueCalls || applying) {
+            startDueCallsAgain = true;
             return;
         }
-        pumping = true;
+        startingDueCalls = true;
         try {
             do {
-                pumpAgain = false;
-                maybeAppend(nowMillis);
-                maybeRead(nowMillis);
-            } while (pumpAgain);
+                startDueCallsAgain = false;
+                appendIfDue(nowMillis);
+                readIfDue(nowMillis);
+            } while (startDueCallsAgain);
         } finally {
-            pumping = false;
+            startingDueCalls = false;
         }
     }
 
-    private void maybeAppend(long nowMillis) {
-        // Before the first read the fold position says nothing, and a batch based on it could be void.
-        if (appendUnanswered || !everRead || !appendBackoff.ready(nowMillis)) {
+    private void appendIfDue(long nowMillis) {
+        // Before the first read the fold position is unknown, and a batch based on it could be void.
+        if (appendUnanswered || !hasRead || !appendBackoff.isReady(nowMillis)) {
             return;
         }
         if (inFlight == null && !formBatch(nowMillis)) {
             return;
         }
-        if (!inFlight.is(InFlight.State.READY)) {
+        if (!inFlight.is(InFlightBatch.State.READY_TO_APPEND)) {
             return;
         }
-        if (inFlight.isVoidAt(next)) {
-            inFlight.number(writer, ++sequence, next);
+        if (inFlight.isTooOldAt(nextOffset)) {
+            inFlight.assignSequence(writer, ++sequence, nextOffset);
         }
-        inFlight.sent();
+        inFlight.markSent();
         appendUnanswered = true;
-        everAppended = true;
+        hasAppended = true;
         appendStartedMillis = nowMillis;
         transport.append(stream, inFlight.frame());
     }
 
     private boolean formBatch(long nowMillis) {
-        boolean due = !everAppended || nowMillis - appendStartedMillis >= commitIntervalMillis;
+        boolean due = !hasAppended || nowMillis - appendStartedMillis >= commitIntervalMillis;
         if (!due || !backlog.hasWaiting()) {
             return false;
         }
-        inFlight = InFlight.create(backlog.take(roomInBatch()));
-        inFlight.number(writer, ++sequence, next);
+        inFlight = InFlightBatch.create(backlog.pollBatch(batchCapacityBytes()));
+        inFlight.assignSequence(writer, ++sequence, nextOffset);
         return true;
     }
 
-    private void maybeRead(long nowMillis) {
-        boolean urgent = answeredSerial < wantedSerial;
-        if (readUnanswered || !(urgent || settings.tail()) || !readBackoff.ready(nowMillis)) {
+    private void readIfDue(long nowMillis) {
+        boolean urgent = completedReadSerial < requestedReadSerial;
+        if (readUnanswered || !(urgent || settings.tail()) || !readBackoff.isReady(nowMillis)) {
             return;
         }
         readUnanswered = true;
-        readFrom = next;
+        readFrom = nextOffset;
         readStartedMillis = nowMillis;
-        startedSerial = wantedSerial;
-        transport.read(stream, next, urgent ? 0 : settings.longPollMillis());
+        startedReadSerial = requestedReadSerial;
+        transport.read(stream, nextOffset, urgent ? 0 : settings.longPollMillis());
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/log/StreamSettings.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/StreamSettings.java
@@ -1,16 +1,16 @@
 package org.quetzalshunt.core.log;
 
 /**
- * Settings of one session.
+ * Settings of a {@link StreamSession}.
  *
- * @param commitIntervalMillis least time between the starts of two appends, see {@link CommitInterval}
- * @param tail whether the session reads on all the time; otherwise it reads only what lies before its own records,
- *     and when asked to follow
- * @param longPollMillis how long the log may hold the answer of a tailing read
- * @param maximumBatchBytes largest batch, at most what the log takes
- * @param maximumBacklogRecords records that may wait, in flight included
- * @param maximumBacklogBytes octets of records that may wait, in flight included
- * @param seed seed of the jitter
+ * @param commitIntervalMillis minimum time between the starts of two appends, see {@link CommitInterval}
+ * @param tail whether the session reads continuously; otherwise it reads only when that is needed to resolve its own
+ *     appends or was requested by {@link StreamSession#follow}
+ * @param longPollMillis how long the log may delay its answer to a tailing read while there is no new record
+ * @param maximumBatchBytes maximum size of a batch, within the log's limit
+ * @param maximumBacklogRecords maximum number of unsettled records, including those in flight
+ * @param maximumBacklogBytes maximum total size of unsettled records, including those in flight
+ * @param seed seed of the back-off jitter
  */
 public record StreamSettings(
         long commitIntervalMillis,
@@ -20,28 +20,34 @@
         int maximumBacklogRecords,
         long maximumBacklogBytes,
         long seed) {
-    /** The log takes 1 MiB; the rest is room for the frame. */
+    /** The log accepts 1 MiB; the difference leaves room for the frame. */
     private static final int MAXIMUM_BATCH_BYTES = 1_000_000;
 
     private static final long LONG_POLL_MILLIS = 1_000;
-    private static final int BACKLOG_RECORDS = 10_000;
-    private static final long BACKLOG_BYTES = 64L * 1024 * 1024;
+    private static final int MAXIMUM_BACKLOG_RECORDS = 10_000;
+    private static final long MAXIMUM_BACKLOG_BYTES = 64L * 1024 * 1024;
 
-    /** A session that follows its stream all the time. */
+    /** Settings of a session that reads its stream continuously. */
     public static StreamSettings tailing(long commitIntervalMillis, long seed) {
         return new StreamSettings(
                 commitIntervalMillis,
                 true,
                 LONG_POLL_MILLIS,
                 MAXIMUM_BATCH_BYTES,
-                BACKLOG_RECORDS,
-                BACKLOG_BYTES,
+                MAXIMUM_BACKLOG_RECORDS,
+                MAXIMUM_BACKLOG_BYTES,
                 seed);
     }
 
-    /** A session that reads only when it has to. */
+    /** Settings of a session that reads only when necessary. */
     public static StreamSettings onDemand(long commitIntervalMillis, long seed) {
         return new StreamSettings(
-                commitIntervalMillis, false, 0, MAXIMUM_BATCH_BYTES, BACKLOG_RECORDS, BACKLOG_BYTES, seed);
+                commitIntervalMillis,
+                false,
+                0,
+                MAXIMUM_BATCH_BYTES,
+                MAXIMUM_BACKLOG_RECORDS,
+                MAXIMUM_BACKLOG_BYTES,
+                seed);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/log/Submission.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/Submission.java
@@ -1,38 +1,38 @@
 package org.quetzalshunt.core.log;
 
-/** What became of a submitted record. */
+/** The outcome of a submitted record. */
 public sealed interface Submission {
-    /** The record is durable and was folded at this offset. Whether it was valid there is the fold's to say. */
+    /** The record is durable and was applied at this offset. The fold decides whether it was valid there. */
     record Folded(long offset) implements Submission {}
 
-    /** The backlog is full; the record was not taken and will never be in the log. */
+    /** The backlog is full. The record was rejected and will never be in the log. */
     record RejectedBacklogFull() implements Submission {}
 
-    /** No batch can hold the record; it was not taken and will never be in the log. */
+    /** The record does not fit into a batch. It was rejected and will never be in the log. */
     record RejectedTooLarge() implements Submission {}
 
     /**
-     * Retention passed over the reader while the record's append was unanswered: the record may or may not have been
-     * in the log. Said only after an outage or pause longer than the log's retention.
+     * The record may or may not have been in the log: retention deleted the offsets at which its unanswered append
+     * could have taken effect. Happens only after an outage or pause longer than the log's retention.
      */
     record Unresolved() implements Submission {}
 
-    /** The record was folded. */
+    /** The record was applied. */
     static Submission folded(long offset) {
         return new Folded(offset);
     }
 
-    /** The record was refused because too many are waiting. */
+    /** The record was rejected because the backlog is full. */
     static Submission rejectedBacklogFull() {
         return new RejectedBacklogFull();
     }
 
-    /** The record was refused because of its size. */
+    /** The record was rejected because it is too large for a batch. */
     static Submission rejectedTooLarge() {
         return new RejectedTooLarge();
     }
 
-    /** Nobody can tell any more. */
+    /** The outcome cannot be found out any more. */
     static Submission unresolved() {
         return new Unresolved();
     }
--- a/core/src/main/java/org/quetzalshunt/core/log/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Folding the platform's log: one {@link org.quetzalshunt.core.log.StreamSession} a stream keeps the fold position,
- * commits records in groups and resolves appends whose answer was lost.
+ * Client of the platform's log service. One {@link org.quetzalshunt.core.log.StreamSession} per stream reads the stream
+ * and applies its records to a {@link org.quetzalshunt.core.log.LogFold}, appends records in batches and resolves
+ * appends whose answer was lost.
  *
- * <p>The log gives each stream one total order and nothing else: answers can be lost after the append took effect, a
- * delayed append can take effect later than its repetition, and old records are dropped. A session turns that into
- * "every record is applied once, in the order of the log": a batch carries its writer and that writer's sequence
- * number, and a reader skips what it has seen.
+ * <p>The log guarantees only a total order of each stream. Answers can be lost after the append took effect, a delayed
+ * append can take effect after its own retry, and old records are deleted. A session applies every record exactly once
+ * in log order: each batch carries its writer's id and sequence number, and readers skip duplicates.
  */
 package org.quetzalshunt.core.log;
--- a/core/src/main/java/org/quetzalshunt/core/program/IdempotencyCheck.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/IdempotencyCheck.java
@@ -25,7 +25,7 @@
             return new Admission.Refused(Refusal.after(
                     ResultCode.fromNumber(result.resultCode()),
                     Execution.UNKNOWN,
-                    "recorded outcome of a request that came before with the same idempotency key"));
+                    "recorded outcome of a request sent before with the same idempotency key"));
         }
         return new Admission.Replay(result.requestId(), result.answer());
     }
--- a/core/src/main/java/org/quetzalshunt/core/program/Shard.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/Shard.java
@@ -173,7 +173,7 @@
         if (!complete()) {
             return List.of();
         }
-        List<byte[]> parts = CheckpointParts.cut(ShardCheckpointCodec.encode(state), maximumPartBytes);
+        List<byte[]> parts = CheckpointParts.split(ShardCheckpointCodec.encode(state), maximumPartBytes);
         List<byte[]> records = new ArrayList<>(parts.size());
         for (int part = 0; part < parts.size(); part++) {
             records.add(codec.encode(
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointCodec.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointCodec.java
@@ -32,12 +32,12 @@
                     writer.putText(key);
                     putResult(writer, result);
                 }));
-        return writer.octets();
+        return writer.uncompressed();
     }
 
     /** Decodes a state; empty if the bytes are truncated. */
     static Optional<ShardState> decode(byte[] octets, long resultMillis) {
-        return StateReader.readPlain(octets, reader -> Optional.of(read(reader, resultMillis)));
+        return StateReader.readUncompressed(octets, reader -> Optional.of(read(reader, resultMillis)));
     }
 
     private static ShardState read(StateReader reader, long resultMillis) {
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointPublisher.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointPublisher.java
@@ -41,7 +41,7 @@
             pendingParts.clear();
             return;
         }
-        boolean due = schedule.due(nowMillis, shard.checkpointCoversBelow(), session.firstKept());
+        boolean due = schedule.isDue(nowMillis, shard.checkpointCoversBelow(), session.firstKept());
         if (due && pendingParts.isEmpty()) {
             publishedCheckpoints++;
             pendingParts.addAll(shard.checkpointRecords(PART_BYTES));
--- a/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationNode.java
+++ b/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationNode.java
@@ -15,17 +15,18 @@
 
     final Configuration configuration = Configuration.create(TextRecords::read);
     final Map<String, Optional<ChangeOutcome>> heard = new HashMap<>();
-    final FakeLog.Line line;
+    final FakeLog.Transport transport;
     final StreamSession session;
     final CheckpointPublisher publisher;
     private final FakeLog log;
 
     private ConfigurationNode(FakeLog log, String writer, long retentionMillis) {
         this.log = log;
-        line = log.line();
+        transport = log.transport();
         long seed = writer.hashCode();
-        session = StreamSession.create("configuration", StreamSettings.tailing(5, seed), writer, line, configuration);
-        line.attach(session);
+        session = StreamSession.create(
+                "configuration", StreamSettings.tailing(5, seed), writer, transport, configuration);
+        transport.attach(session);
         publisher = CheckpointPublisher.create(
                 configuration,
                 session,
--- a/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationRandomTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationRandomTest.java
@@ -59,7 +59,7 @@
             }
             if (random.nextInt(60_000) == 0) {
                 int replaced = random.nextInt(NODES);
-                nodes.get(replaced).line.cut();
+                nodes.get(replaced).transport.crash();
                 nodes.set(replaced, startNode());
             }
             nodes.forEach(ConfigurationNode::tick);
--- a/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationTest.java
@@ -87,13 +87,13 @@
         running.submit(put("tutor", NO_VERSION, "create", hash(KEY)));
         log.run(50, ticks);
         assertThat(stopped.configuration.accountOfKey(hash(KEY))).hasValue("arusha");
-        stopped.line.pause();
+        stopped.transport.pause();
         running.submit(put("other", NO_VERSION, "still answered to the read under way", hash(3)));
         log.run(50, running::tick);
         running.submit(put("tutor", 0, "withdraw", hash(OTHER_KEY)));
         log.run(50, running::tick);
         log.dropBelow(3);
-        stopped.line.resume();
+        stopped.transport.resume();
         log.run(20, stopped::tick);
         assertThat(stopped.configuration.complete()).isFalse();
         running.publishCheckpoint();
--- a/core/src/test/java/org/quetzalshunt/core/log/FakeLog.java
+++ b/core/src/test/java/org/quetzalshunt/core/log/FakeLog.java
@@ -6,7 +6,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** A log with one stream on a virtual clock, with the faults of the platform's: see docs/PLATFORM.md. */
+/** A simulated log with one stream and a virtual clock. It injects the faults described in docs/PLATFORM.md. */
 public final class FakeLog {
     private static final int ENTRIES_PER_READ = 40;
     private static final long POLL_MILLIS = 3;
@@ -24,22 +24,22 @@
     private FaultRates rates = FaultRates.NONE;
     private AppendFault nextFault = AppendFault.NONE;
 
-    /** What happens to an append. */
+    /** A fault of one append. */
     public enum AppendFault {
         NONE,
-        /** It takes effect, the answer is lost. */
+        /** The append takes effect, but its answer is lost. */
         ANSWER_LOST,
-        /** It never arrives, and the sender cannot know. */
+        /** The append does not arrive; the sender sees only a time-out. */
         REQUEST_LOST,
-        /** The sender gives up; it takes effect some time later. */
+        /** The append takes effect after the sender's time-out. */
         LATE,
-        /** It takes effect twice, the second time later. */
+        /** The append takes effect twice, the second time after a delay. */
         TWICE,
-        /** The log says no. */
+        /** The log rejects the append. */
         REFUSED
     }
 
-    /** Shares of appends and reads that a fault hits. */
+    /** Fractions of appends and reads that fail. */
     private record FaultRates(double append, double read) {
         static final FaultRates NONE = new FaultRates(0, 0);
     }
@@ -50,54 +50,55 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Transport of one process; what it hears after {@code cut} is nothing, as after a crash. */
-    public final class Line implements LogTransport {
+    /** Transport of one process. */
+    public final class Transport implements LogTransport {
         private StreamSession session;
-        private final List<Runnable> held = new ArrayList<>();
-        private boolean cut;
+        private final List<Runnable> delayedAnswers = new ArrayList<>();
+        private boolean crashed;
         private boolean paused;
 
         public void attach(StreamSession attached) {
             session = attached;
         }
 
-        public void cut() {
-            cut = true;
+        /** Simulates a crash of the process: answers are no longer delivered. */
+        public void crash() {
+            crashed = true;
         }
 
-        /** The process stands still: answers wait in its socket. */
+        /** Pauses the process: answers are delivered when it resumes. */
         public void pause() {
             paused = true;
         }
 
         public void resume() {
             paused = false;
-            held.forEach(Runnable::run);
-            held.clear();
+            delayedAnswers.forEach(Runnable::run);
+            delayedAnswers.clear();
         }
 
         @Override
         public void append(String stream, byte[] batch) {
             appends++;
             AppendFault fault = outage ? AppendFault.REQUEST_LOST : drawFault();
-            long there = 1 + random.nextLong(4);
-            long deadline = there + 30;
+            long arrivalMillis = 1 + random.nextLong(4);
+            long timeoutMillis = arrivalMillis + 30;
             switch (fault) {
-                case NONE -> after(there, () -> answerAppend(take(batch)));
+                case NONE -> after(arrivalMillis, () -> answerAppend(store(batch)));
                 case ANSWER_LOST -> {
-                    after(there, () -> take(batch));
-                    after(deadline, () -> answer(() -> session.onAppendFailed(nowMillis, true)));
+                    after(arrivalMillis, () -> store(batch));
+                    after(timeoutMillis, () -> answer(() -> session.onAppendFailed(nowMillis, true)));
                 }
-                case REQUEST_LOST -> after(deadline, () -> answer(() -> session.onAppendFailed(nowMillis, true)));
+                case REQUEST_LOST -> after(timeoutMillis, () -> answer(() -> session.onAppendFailed(nowMillis, true)));
                 case LATE -> {
-                    after(deadline, () -> answer(() -> session.onAppendFailed(nowMillis, true)));
-                    after(deadline + random.nextLong(400), () -> take(batch));
+                    after(timeoutMillis, () -> answer(() -> session.onAppendFailed(nowMillis, true)));
+                    after(timeoutMillis + random.nextLong(400), () -> store(batch));
                 }
                 case TWICE -> {
-                    after(there, () -> answerAppend(take(batch)));
-                    after(there + random.nextLong(400), () -> take(batch));
+                    after(arrivalMillis, () -> answerAppend(store(batch)));
+                    after(arrivalMillis + random.nextLong(400), () -> store(batch));
                 }
-                case REFUSED -> after(there, () -> answer(() -> session.onAppendFailed(nowMillis, false)));
+                case REFUSED -> after(arrivalMillis, () -> answer(() -> session.onAppendFailed(nowMillis, false)));
             }
         }
 
@@ -113,7 +114,7 @@
         }
 
         private void serve(long from, long until) {
-            if (from >= next() && nowMillis < until && !cut) {
+            if (from >= next() && nowMillis < until && !crashed) {
                 after(POLL_MILLIS, () -> serve(from, until));
                 return;
             }
@@ -133,15 +134,15 @@
 
         private void answer(Runnable action) {
             if (paused) {
-                held.add(action);
-            } else if (!cut) {
+                delayedAnswers.add(action);
+            } else if (!crashed) {
                 action.run();
             }
         }
     }
 
-    public Line line() {
-        return new Line();
+    public Transport transport() {
+        return new Transport();
     }
 
     public long now() {
@@ -164,17 +165,17 @@
         outage = down;
     }
 
-    /** Sets the shares of appends and of reads that a fault hits. */
-    public void setFaults(double ofAppends, double ofReads) {
-        rates = new FaultRates(ofAppends, ofReads);
+    /** Sets the fractions of appends and of reads that fail. */
+    public void setFaults(double appendFraction, double readFraction) {
+        rates = new FaultRates(appendFraction, readFraction);
     }
 
-    /** Hits the next append alone. */
+    /** Injects a fault into the next append. */
     public void failNextAppend(AppendFault fault) {
         nextFault = fault;
     }
 
-    public long take(byte[] record) {
+    public long store(byte[] record) {
         records.add(record);
         return records.size() - 1L;
     }
@@ -183,7 +184,7 @@
         firstKept = Math.max(firstKept, offset);
     }
 
-    /** Lets time pass, a millisecond at a time, with an action in each. */
+    /** Advances the clock millisecond by millisecond and runs the action in each. */
     public void run(long millis, Runnable everyMillisecond) {
         long end = nowMillis + millis;
         while (nowMillis < end) {
--- a/core/src/test/java/org/quetzalshunt/core/log/RecordingFold.java
+++ b/core/src/test/java/org/quetzalshunt/core/log/RecordingFold.java
@@ -4,10 +4,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Remembers what it was given. */
+/** Records the calls it receives. */
 final class RecordingFold implements LogFold {
     final List<String> records = new ArrayList<>();
-    final List<String> places = new ArrayList<>();
+    final List<String> positions = new ArrayList<>();
     final List<Long> gaps = new ArrayList<>();
     final List<Long> malformed = new ArrayList<>();
 
@@ -15,7 +15,7 @@
     public void apply(long offset, byte[] record, int indexInBatch) {
         String text = new String(record, StandardCharsets.UTF_8);
         records.add(text);
-        places.add(offset + "/" + indexInBatch + " " + text);
+        positions.add(offset + "/" + indexInBatch + " " + text);
     }
 
     @Override
--- a/core/src/test/java/org/quetzalshunt/core/log/SessionNode.java
+++ b/core/src/test/java/org/quetzalshunt/core/log/SessionNode.java
@@ -4,19 +4,19 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A process with one session, and what it heard of its records. */
+/** A process with one session, and the outcomes of its submitted records. */
 final class SessionNode {
     final RecordingFold fold = new RecordingFold();
-    final Map<String, Submission> heard = new LinkedHashMap<>();
-    final FakeLog.Line line;
+    final Map<String, Submission> outcomes = new LinkedHashMap<>();
+    final FakeLog.Transport transport;
     final StreamSession session;
     private final FakeLog log;
 
     private SessionNode(FakeLog log, String writer, StreamSettings settings) {
         this.log = log;
-        line = log.line();
-        session = StreamSession.create("stream", settings, writer, line, fold);
-        line.attach(session);
+        transport = log.transport();
+        session = StreamSession.create("stream", settings, writer, transport, fold);
+        transport.attach(session);
     }
 
     static SessionNode start(FakeLog log, String writer, StreamSettings settings) {
@@ -29,8 +29,8 @@
 
     void submit(String record) {
         session.submit(log.now(), record.getBytes(StandardCharsets.UTF_8), submission -> {
-            if (heard.put(record, submission) != null) {
-                throw new AssertionError("heard twice of " + record);
+            if (outcomes.put(record, submission) != null) {
+                throw new AssertionError("more than one outcome for " + record);
             }
         });
     }
--- a/core/src/test/java/org/quetzalshunt/core/log/StreamSessionRandomTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/log/StreamSessionRandomTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Processes append and follow one stream while a third of all calls go wrong, the log has outages, and processes crash
- * and come back under a new incarnation. Cause of what could go wrong: lost answers and late copies of appends. Seen
- * from outside: a lesson's turn that is lost, or stands twice in its history, or two entries that disagree on the order.
+ * Processes append to one stream and read it while 30% of appends and 10% of reads fail, the log has outages, and
+ * processes crash and restart with a new incarnation. Guards against lost or duplicated records and against processes
+ * that disagree on the order, as caused by lost answers and late copies of appends.
  */
 final class StreamSessionRandomTest {
     private static final int NODES = 4;
@@ -44,7 +44,7 @@
             }
             if (random.nextInt(3_000) == 0) {
                 int node = random.nextInt(NODES);
-                live.get(node).line.cut();
+                live.get(node).transport.crash();
                 crashed.add(live.get(node));
                 live.set(node, start(log, random, node, crashed.size() + 1));
             }
@@ -61,28 +61,28 @@
         live.forEach(node -> node.session.follow(log.now()));
         log.run(QUIET_MILLIS, () -> live.forEach(SessionNode::tick));
 
-        List<String> order = live.get(0).fold.places;
+        List<String> expected = live.get(0).fold.positions;
         assertThat(live.get(0).fold.records).containsNoDuplicates();
-        assertThat(order.size()).isGreaterThan(1_000);
+        assertThat(expected.size()).isGreaterThan(1_000);
         for (SessionNode node : live) {
-            assertThat(node.fold.places).isEqualTo(order);
+            assertThat(node.fold.positions).isEqualTo(expected);
             assertThat(node.session.backlog()).isEqualTo(0);
-            assertThat(node.heard.values().stream().allMatch(Submission::isFolded))
+            assertThat(node.outcomes.values().stream().allMatch(Submission::isFolded))
                     .isTrue();
-            assertEachHeardPlace(node, order);
+            assertReportedOffsetsAreCorrect(node, expected);
         }
         for (SessionNode node : crashed) {
-            assertThat(node.fold.places).isEqualTo(order.subList(0, node.fold.places.size()));
-            assertEachHeardPlace(node, order);
+            assertThat(node.fold.positions).isEqualTo(expected.subList(0, node.fold.positions.size()));
+            assertReportedOffsetsAreCorrect(node, expected);
         }
     }
 
-    private static void assertEachHeardPlace(SessionNode node, List<String> order) {
+    private static void assertReportedOffsetsAreCorrect(SessionNode node, List<String> expected) {
         Set<String> folded = new HashSet<>();
-        order.forEach(place -> folded.add(place.replaceFirst("/\\d+", "")));
-        for (Map.Entry<String, Submission> entry : node.heard.entrySet()) {
-            if (entry.getValue() instanceof Submission.Folded told) {
-                assertThat(folded).contains(told.offset() + " " + entry.getKey());
+        expected.forEach(position -> folded.add(position.replaceFirst("/\\d+", "")));
+        for (Map.Entry<String, Submission> entry : node.outcomes.entrySet()) {
+            if (entry.getValue() instanceof Submission.Folded reported) {
+                assertThat(folded).contains(reported.offset() + " " + entry.getKey());
             }
         }
     }
--- a/core/src/test/java/org/quetzalshunt/core/log/StreamSessionTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/log/StreamSessionTest.java
@@ -22,14 +22,14 @@
         log.run(20, node::tick);
         node.submit("two");
         log.run(20, node::tick);
-        assertThat(node.fold.places).containsExactly("0/0 one", "1/0 two").inOrder();
-        assertThat(node.heard).containsEntry("two", Submission.folded(1));
+        assertThat(node.fold.positions).containsExactly("0/0 one", "1/0 two").inOrder();
+        assertThat(node.outcomes).containsEntry("two", Submission.folded(1));
         assertThat(log.reads()).isEqualTo(reads);
     }
 
     @ParameterizedTest
     @CsvSource({"10", "100"})
-    void appendsDoNotGrowWithRecords(int recordsPerHundredMillis) {
+    void theNumberOfAppendsDoesNotGrowWithTheNumberOfRecords(int recordsPerHundredMillis) {
         SessionNode node = SessionNode.start(log, "a#1", StreamSettings.onDemand(50, 1));
         log.run(20, node::tick);
         for (int round = 0; round < 10; round++) {
@@ -43,13 +43,12 @@
     }
 
     /**
-     * A librarian's issue is recorded, but the log's answer is lost on its way, or the append itself is, or it takes
-     * effect long after its sender gave up, or twice. The process cannot tell these apart. Appending blindly would
-     * post the issue twice, giving up would lose it: each must come to one record at all readers.
+     * An append or its answer is lost, or the append takes effect late or twice, and the writer cannot tell which. A
+     * blind retry would duplicate the record and no retry would lose it. All readers must apply it exactly once.
      */
     @ParameterizedTest
     @EnumSource(FakeLog.AppendFault.class)
-    void aRecordIsFoldedOnceWhateverBecomesOfItsAppend(FakeLog.AppendFault fault) {
+    void aRecordIsFoldedOnceWhateverFaultItsAppendHas(FakeLog.AppendFault fault) {
         SessionNode node = SessionNode.tailing(log, "a#1");
         SessionNode reader = SessionNode.tailing(log, "b#1");
         Runnable ticks = () -> List.of(node, reader).forEach(SessionNode::tick);
@@ -60,78 +59,78 @@
         node.submit("next issue");
         log.run(4_000, ticks);
         assertThat(reader.fold.records).containsExactly("issue", "next issue").inOrder();
-        assertThat(node.fold.places).isEqualTo(reader.fold.places);
-        assertThat(node.heard.values().stream().allMatch(Submission::isFolded)).isTrue();
+        assertThat(node.fold.positions).isEqualTo(reader.fold.positions);
+        assertThat(node.outcomes.values().stream().allMatch(Submission::isFolded))
+                .isTrue();
         assertThat(node.session.backlog()).isEqualTo(0);
     }
 
     /**
-     * An entry stands still, say under memory pressure, for longer than the log keeps records. When it goes on, the log
-     * answers with later records than it asked for. Folding them on the old state would bring back old versions: the
-     * fold must hear of the gap before the next record.
+     * A reader is paused for longer than the log's retention. When it resumes, the log returns later records than
+     * requested. Applying them to the old state would give a wrong state, so the gap must be reported to the fold
+     * first.
      */
     @Test
-    void aStoppedReaderHearsOfTheGap() {
-        SessionNode stopped = SessionNode.tailing(log, "a#1");
+    void aGapIsReportedToAReaderPausedBeyondRetention() {
+        SessionNode paused = SessionNode.tailing(log, "a#1");
         SessionNode other = SessionNode.tailing(log, "b#1");
-        log.run(20, stopped::tick);
+        log.run(20, paused::tick);
         other.submit("seen by both");
-        log.run(50, () -> List.of(stopped, other).forEach(SessionNode::tick));
-        stopped.line.pause();
+        log.run(50, () -> List.of(paused, other).forEach(SessionNode::tick));
+        paused.transport.pause();
         for (int record = 0; record < 5; record++) {
             other.submit("record " + record);
             log.run(30, other::tick);
         }
         log.dropBelow(4);
-        stopped.line.resume();
-        log.run(1_500, stopped::tick);
-        assertThat(stopped.fold.gaps).containsExactly(4L);
-        assertThat(stopped.session.next()).isEqualTo(log.next());
-        assertThat(stopped.session.firstKept()).isEqualTo(4);
+        paused.transport.resume();
+        log.run(1_500, paused::tick);
+        assertThat(paused.fold.gaps).containsExactly(4L);
+        assertThat(paused.session.next()).isEqualTo(log.next());
+        assertThat(paused.session.firstKept()).isEqualTo(4);
     }
 
     /**
-     * The answer of an append is lost and the process then stands still until the log has dropped the place where the
-     * batch lay or would have lain. Nobody can say any more whether it is in the log; a second append could run a call
-     * twice. The caller must hear that the outcome is unknown.
+     * The answer of an append is lost, and the log deletes the offsets where the batch may have been before the process
+     * has read them. A second append could run a call twice, so the outcome must be reported as unresolved.
      */
     @Test
-    void anAppendWhoseAnswerAndPlaceAreGoneIsSaidToBeUnresolved() {
+    void anAppendWithLostAnswerAndDeletedOffsetIsUnresolved() {
         SessionNode node = SessionNode.start(log, "a#1", StreamSettings.onDemand(10, 1));
         log.run(20, node::tick);
         log.failNextAppend(FakeLog.AppendFault.ANSWER_LOST);
         node.submit("call");
         log.run(8, () -> {});
-        log.take(BatchFrame.encode(new Batch("b#1", 1, 1, List.of("other".getBytes(StandardCharsets.UTF_8)))));
+        log.store(BatchFrame.encode(new Batch("b#1", 1, 1, List.of("other".getBytes(StandardCharsets.UTF_8)))));
         log.dropBelow(1);
         log.run(500, node::tick);
-        assertThat(node.heard).containsExactly("call", Submission.unresolved());
+        assertThat(node.outcomes).containsExactly("call", Submission.unresolved());
         assertThat(node.fold.records).containsExactly("other");
     }
 
     /**
-     * A process wakes after an hour in which the log grew by tens of thousands of records, and appends a batch made
-     * before. Readers forget writers after a while, so a batch so late is void at all of them; its writer must find
-     * that out and bring the records in under a new number, once.
+     * A batch is appended after tens of thousands of records that its writer has not read. It is void, because readers
+     * no longer track writers for duplicates that far back. The writer must detect this and append the records once
+     * more, under a new sequence number.
      */
     @Test
-    void aBatchThatLandsTooLateToCountIsAppendedAnew() {
+    void aBatchAppendedTooLateIsAppendedAgainUnderANewSequenceNumber() {
         SessionNode node = SessionNode.start(log, "a#1", StreamSettings.onDemand(10, 1));
         log.run(20, node::tick);
-        LongStream.rangeClosed(0, WriterTable.HORIZON).forEach(ignored -> log.take(new byte[] {9}));
+        LongStream.rangeClosed(0, BatchDeduplicator.MAXIMUM_AGE_OFFSETS).forEach(ignored -> log.store(new byte[] {9}));
         node.submit("late");
         log.run(20_000, node::tick);
         assertThat(node.fold.records).containsExactly("late");
-        assertThat(node.heard.get("late").isFolded()).isTrue();
-        assertThat(node.fold.malformed).hasSize((int) WriterTable.HORIZON + 1);
+        assertThat(node.outcomes.get("late").isFolded()).isTrue();
+        assertThat(node.fold.malformed).hasSize((int) BatchDeduplicator.MAXIMUM_AGE_OFFSETS + 1);
     }
 
     /**
-     * The log is down for ten seconds while records go on coming. Memory must stay bounded, so that what does not fit is
-     * refused at once and truly never recorded; the log must not be hammered; and all that was taken is recorded after.
+     * The log is down for ten seconds while records are submitted. The backlog must stay bounded, rejected records must
+     * never be recorded, retries must be limited, and all accepted records must be recorded afterwards.
      */
     @Test
-    void anOutageIsSatOutWithABoundedBacklogAndFewCalls() {
+    void anOutageIsSurvivedWithABoundedBacklogAndFewCalls() {
         StreamSettings settings = new StreamSettings(10, true, 100, 1_000, 20, 1_000_000, 3);
         SessionNode node = SessionNode.start(log, "a#1", settings);
         log.run(20, node::tick);
@@ -146,13 +145,13 @@
         log.setOutage(false);
         log.run(5_000, node::tick);
         assertThat(node.fold.records).hasSize(20);
-        assertThat(node.heard.values().stream().filter(Submission::isFolded)).hasSize(20);
-        assertThat(node.heard).containsEntry("record 29", Submission.rejectedBacklogFull());
+        assertThat(node.outcomes.values().stream().filter(Submission::isFolded)).hasSize(20);
+        assertThat(node.outcomes).containsEntry("record 29", Submission.rejectedBacklogFull());
         assertThat(node.session.available()).isTrue();
     }
 
     @Test
-    void followingCountsOnlyAReadThatStartsAfterwards() {
+    void followIsSatisfiedOnlyByAReadThatStartsAfterwards() {
         SessionNode node = SessionNode.tailing(log, "a#1");
         log.run(30, node::tick);
         assertThat(node.session.caughtUp()).isTrue();
@@ -164,15 +163,15 @@
     }
 
     @Test
-    void aRecordThatNoBatchHoldsIsRefused() {
+    void aRecordTooLargeForABatchIsRejected() {
         SessionNode node = SessionNode.start(log, "a#1", new StreamSettings(10, true, 100, 100, 20, 1_000_000, 3));
         node.submit("x".repeat(100));
-        assertThat(node.heard.values()).containsExactly(Submission.rejectedTooLarge());
+        assertThat(node.outcomes.values()).containsExactly(Submission.rejectedTooLarge());
     }
 
     @ParameterizedTest
     @CsvSource({"1,1,5", "3,1,15", "3,8,120", "330,1,1650"})
-    void commitIntervalsKeepTheFleetUnderItsTarget(int nodes, int streams, long interval) {
+    void commitIntervalsKeepTheDeploymentUnderItsTarget(int nodes, int streams, long interval) {
         assertThat(CommitInterval.forNodes(nodes, streams)).isEqualTo(interval);
     }
 }
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
@@ -20,7 +20,7 @@
     static final String ACCOUNT = "arusha";
 
     final VmId id;
-    final FakeLog.Line line;
+    final FakeLog.Transport transport;
     final StreamSession session;
     final Shard shard;
     final ShardCheckpointPublisher publisher;
@@ -34,10 +34,10 @@
     private ShardNode(FakeLog log, ShardRecordCodec codec, String name, long incarnation, StreamSettings settings) {
         this.log = log;
         id = VmId.of(name, incarnation);
-        line = log.line();
+        transport = log.transport();
         shard = Shard.create(0, id, ShardSettings.defaults(), codec, this::submit, this);
-        session = StreamSession.create("shard-0", settings, id.toString(), line, shard);
-        line.attach(session);
+        session = StreamSession.create("shard-0", settings, id.toString(), transport, shard);
+        transport.attach(session);
         publisher = ShardCheckpointPublisher.create(
                 shard, session, CheckpointSchedule.create(60_000, id.toString().hashCode()));
     }
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardRandomTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardRandomTest.java
@@ -107,7 +107,7 @@
                     continue;
                 }
                 if (pausedUntil.remove(node) != null) {
-                    node.line.resume();
+                    node.transport.resume();
                 }
                 node.tick();
                 act(index, node);
@@ -116,12 +116,12 @@
 
         private void act(int index, ShardNode node) {
             if (random.nextInt(40_000) == 0) {
-                node.line.cut();
+                node.transport.crash();
                 liveNodes.set(index, start("vm" + index));
                 return;
             }
             if (random.nextInt(25_000) == 0) {
-                node.line.pause();
+                node.transport.pause();
                 pausedUntil.put(node, log.now() + 200 + random.nextInt(8_000));
                 return;
             }
@@ -171,7 +171,7 @@
 
         void settle() {
             log.setFaults(0, 0);
-            liveNodes.forEach(node -> node.line.resume());
+            liveNodes.forEach(node -> node.transport.resume());
             lateNode = start("late");
             for (int round = 0; round < 2; round++) {
                 liveNodes.forEach(node -> node.session.follow(log.now()));
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
@@ -59,10 +59,10 @@
         one.create(PROGRAM, 10_000);
         log.run(40, this::ticks);
         one.offer(PROGRAM, "of the paused owner");
-        one.line.pause();
+        one.transport.pause();
         two.takeOver(two::tick);
         runTurn(two, PROGRAM, "of the new owner");
-        one.line.resume();
+        one.transport.resume();
         one.end(one.turnsStarted.get(0), 10);
         log.run(200, this::ticks);
         assertThat(one.durable).containsExactly("of the paused owner", false);
@@ -85,7 +85,7 @@
         one.call("lorry", "first");
         log.run(2_000, this::ticks);
         assertThat(one.callsStarted).hasSize(1);
-        one.line.cut();
+        one.transport.crash();
         two.takeOver(two::tick);
         Admission again = two.call("lorry", "second");
         log.run(100, two::tick);
@@ -101,10 +101,10 @@
     @Test
     void anIntentAppendedAfterATakeoverIsVoidAndItsCallDoesNotStart() {
         one.takeOver(this::ticks);
-        one.line.pause();
+        one.transport.pause();
         two.takeOver(two::tick);
         one.call("lorry", "first");
-        one.line.resume();
+        one.transport.resume();
         log.run(200, this::ticks);
         assertThat(one.callsStarted).isEmpty();
         assertThat(one.ownershipLosses).isEqualTo(1);
@@ -145,7 +145,7 @@
         log.run(40, this::ticks);
         long before = log.next();
         log.run(16_000, this::ticks);
-        one.line.cut();
+        one.transport.crash();
         log.dropBelow(before);
         ShardNode late = ShardNode.start(log, codec, "late");
         late.takeOver(late::tick);
@@ -173,7 +173,7 @@
         if (turnsAfterTheCheckpoint) {
             runTurn(one, PROGRAM, "third");
         }
-        one.line.cut();
+        one.transport.crash();
         log.dropBelow(before);
         ShardNode late = ShardNode.start(log, codec, "late");
         late.takeOver(late::tick);
@@ -210,7 +210,7 @@
         one.takeOver(this::ticks);
         one.create(PROGRAM, 10_000);
         log.run(40, this::ticks);
-        one.line.pause();
+        one.transport.pause();
         log.dropBelow(log.next());
         ShardNode late = ShardNode.start(log, codec, "late");
         ShardNode other = ShardNode.start(log, codec, "other");
@@ -219,7 +219,7 @@
         late.shard.claim(won -> {});
         other.shard.claim(won -> {});
         log.run(100, both);
-        one.line.resume();
+        one.transport.resume();
         List.of(late, other, one).forEach(node -> node.session.follow(log.now()));
         log.run(200, () -> List.of(late, other, one).forEach(ShardNode::tick));
         assertThat(List.of(late.shard.isOwned(), other.shard.isOwned())).containsExactly(true, false);
@@ -300,9 +300,9 @@
         one.create(PROGRAM, 10_000);
         log.run(40, this::ticks);
         one.offer(PROGRAM, "of the first epoch");
-        one.line.pause();
+        one.transport.pause();
         two.takeOver(two::tick);
-        one.line.resume();
+        one.transport.resume();
         one.takeOver(this::ticks);
         assertThat(one.shard.isOwned()).isTrue();
         one.end(one.turnsStarted.get(0), 10);
