--- a/core/src/main/java/org/quetzalshunt/core/log/CheckpointParts.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/CheckpointParts.java
@@ -15,9 +15,9 @@
  */
 public final class CheckpointParts {
     private static final int MAXIMUM_PARTS = 4_096;
-    private static final int MAXIMUM_INCOMPLETE = 4;
+    private static final int MAXIMUM_UNFINISHED = 4;
 
-    private final Map<Key, byte[][]> incomplete = new LinkedHashMap<>();
+    private final Map<Key, byte[][]> unfinished = new LinkedHashMap<>();
 
     private CheckpointParts() {}
 
@@ -59,20 +59,20 @@
         }
         long checksum = new UnsafeBuffer(octets).getLong(0);
         Key key = new Key(coversBelow, parts, checksum);
-        byte[][] collected = incomplete.computeIfAbsent(key, ignored -> new byte[parts][]);
+        byte[][] collected = unfinished.computeIfAbsent(key, ignored -> new byte[parts][]);
         collected[part] = Arrays.copyOfRange(octets, Long.BYTES, octets.length);
         if (Arrays.stream(collected).anyMatch(received -> received == null)) {
             evictOldest();
             return Optional.empty();
         }
-        incomplete.remove(key);
+        unfinished.remove(key);
         byte[] state = join(collected);
         return checksum(state) == checksum ? Optional.of(state) : Optional.empty();
     }
 
     private void evictOldest() {
-        if (incomplete.size() > MAXIMUM_INCOMPLETE) {
-            incomplete.remove(incomplete.keySet().iterator().next());
+        if (unfinished.size() > MAXIMUM_UNFINISHED) {
+            unfinished.remove(unfinished.keySet().iterator().next());
         }
     }
 
--- a/core/src/main/java/org/quetzalshunt/core/log/InFlightBatch.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/InFlightBatch.java
@@ -7,9 +7,9 @@
     /** Progress of the append. */
     enum State {
         /** The batch has to be appended, for the first time or again. */
-        READY_TO_APPEND,
+        READY,
         /** An append was sent and has not been answered. */
-        AWAITING_ANSWER,
+        SENT,
         /**
          * The outcome of an append is unknown; the batch may be appended again only after reading the stream to its
          * end.
@@ -22,10 +22,10 @@
     private final List<Backlog.Pending> pending;
     private Batch batch;
     private byte[] frame;
-    private State state = State.READY_TO_APPEND;
+    private State state = State.READY;
     private long readBackSerial;
     private boolean answerWasLost;
-    private boolean mayBeInGap;
+    private boolean mayLieInGap;
 
     private InFlightBatch(List<Backlog.Pending> pending) {
         this.pending = pending;
@@ -47,11 +47,11 @@
                 pending.stream().map(Backlog.Pending::data).toList());
         frame = BatchFrame.encode(batch);
         answerWasLost = false;
-        mayBeInGap = false;
+        mayLieInGap = false;
     }
 
     void markSent() {
-        state = State.AWAITING_ANSWER;
+        state = State.SENT;
     }
 
     void markAppended() {
@@ -59,7 +59,7 @@
     }
 
     void markReady() {
-        state = State.READY_TO_APPEND;
+        state = State.READY;
     }
 
     void requireReadBack(long serial) {
@@ -70,12 +70,12 @@
 
     /** The last append certainly did not take effect. An earlier one with a lost answer may have. */
     void markRejected() {
-        state = State.READY_TO_APPEND;
-        mayBeInGap = mayBeInGap && answerWasLost;
+        state = State.READY;
+        mayLieInGap = mayLieInGap && answerWasLost;
     }
 
     void onGap() {
-        mayBeInGap = state != State.READY_TO_APPEND || answerWasLost;
+        mayLieInGap = state != State.READY || answerWasLost;
     }
 
     boolean is(State expected) {
@@ -86,8 +86,8 @@
         return state == State.AWAITING_READ_BACK && completedReadSerial >= readBackSerial;
     }
 
-    boolean mayBeInGap() {
-        return mayBeInGap;
+    boolean mayLieInGap() {
+        return mayLieInGap;
     }
 
     boolean hasSequence(long sequence) {
--- a/core/src/main/java/org/quetzalshunt/core/log/StreamSession.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/StreamSession.java
@@ -97,7 +97,7 @@
     public void onAppended(long nowMillis, long offset) {
         appendUnanswered = false;
         appendBackoff.succeeded();
-        if (inFlight != null && inFlight.is(InFlightBatch.State.AWAITING_ANSWER)) {
+        if (inFlight != null && inFlight.is(InFlightBatch.State.SENT)) {
             settleAppended(offset);
         }
         startDueCalls(nowMillis);
@@ -111,7 +111,7 @@
     public void onAppendFailed(long nowMillis, boolean mayHaveTakenEffect) {
         appendUnanswered = false;
         appendBackoff.failed(nowMillis);
-        if (inFlight == null || !inFlight.is(InFlightBatch.State.AWAITING_ANSWER)) {
+        if (inFlight == null || !inFlight.is(InFlightBatch.State.SENT)) {
             return;
         }
         if (mayHaveTakenEffect) {
@@ -224,14 +224,14 @@
         }
         // The fold is past the offset without having applied the batch: it was lost in a gap or is void for its age.
         retryIfTooOld();
-        if (inFlight != null && !inFlight.is(InFlightBatch.State.READY_TO_APPEND)) {
+        if (inFlight != null && !inFlight.is(InFlightBatch.State.READY)) {
             settleAsUnresolved();
         }
     }
 
     /** Retries a batch that is void for its age; it gets a new sequence number, see {@link BatchDeduplicator}. */
     private void retryIfTooOld() {
-        if (inFlight != null && inFlight.isTooOldAt(nextOffset) && !inFlight.mayBeInGap()) {
+        if (inFlight != null && inFlight.isTooOldAt(nextOffset) && !inFlight.mayLieInGap()) {
             inFlight.markReady();
         }
     }
@@ -257,7 +257,7 @@
             return;
         }
         inFlight.onGap();
-        if (inFlight.is(InFlightBatch.State.READY_TO_APPEND)) {
+        if (inFlight.is(InFlightBatch.State.READY)) {
             settleAsUnresolvedIfInGap();
         }
     }
@@ -265,7 +265,7 @@
     private void settleAsUnresolvedIfInGap() {
         // Appending it again could duplicate the records: a reader that saw the first copy would skip the second, but a
         // reader that starts after the gap would apply it.
-        if (inFlight != null && inFlight.mayBeInGap()) {
+        if (inFlight != null && inFlight.mayLieInGap()) {
             settleAsUnresolved();
         }
     }
@@ -363,7 +363,7 @@
         if (inFlight == null && !formBatch(nowMillis)) {
             return;
         }
-        if (!inFlight.is(InFlightBatch.State.READY_TO_APPEND)) {
+        if (!inFlight.is(InFlightBatch.State.READY)) {
             return;
         }
         if (inFlight.isTooOldAt(nextOffset)) {
