--- a/core/src/main/java/org/quetzalshunt/core/configuration/AcceptedRecord.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/AcceptedRecord.java
@@ -1,9 +1,9 @@
 package org.quetzalshunt.core.configuration;
 
 /**
- * A record that was valid where it stood, kept as it was, so that a checkpoint hands on the very same octets.
+ * A record that was valid at its position in the stream. Its bytes are kept so that checkpoints contain it unchanged.
  *
- * @param offset where it stood
- * @param record its octets
+ * @param offset offset of the record
+ * @param record bytes of the record
  */
 record AcceptedRecord(long offset, byte[] record) {}
--- a/core/src/main/java/org/quetzalshunt/core/configuration/ChangeOutcome.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/ChangeOutcome.java
@@ -1,10 +1,10 @@
 package org.quetzalshunt.core.configuration;
 
 /**
- * What became of a change of a document.
+ * The outcome of a change of a document.
  *
- * @param accepted whether it was valid where it stands in the stream
- * @param version when accepted, its version; otherwise the version in force at that place,
- *     {@link ConfigurationChange#NO_VERSION} for none
+ * @param accepted whether the change was valid at its position in the stream
+ * @param version if accepted, the new version; otherwise the current version at that position, or
+ *     {@link ConfigurationChange#NO_VERSION} if there is none
  */
 public record ChangeOutcome(boolean accepted, long version) {}
--- a/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointForm.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointCodec.java
@@ -5,11 +5,11 @@
 import org.quetzalshunt.core.log.StateWriter;
 
 /**
- * Binary form of a {@link ConfigurationState}: count of records, then offset and octets of each; count of outcomes, then
- * the change's id, whether it was accepted and its version.
+ * Compressed binary encoding of a {@link ConfigurationState}: number of records, then offset and bytes of each; number
+ * of outcomes, then change id, whether it was accepted, and version of each.
  */
-final class CheckpointForm {
-    private CheckpointForm() {}
+final class CheckpointCodec {
+    private CheckpointCodec() {}
 
     static byte[] encode(ConfigurationState state) {
         StateWriter writer = StateWriter.create();
@@ -27,9 +27,9 @@
         return writer.compressed();
     }
 
-    /** Reads a state; empty when the octets are no state, or hold a record that the reader cannot read. */
-    static Optional<ConfigurationState> decode(byte[] octets, RecordReader recordReader) {
-        return StateReader.readCompressed(octets, reader -> read(reader, recordReader));
+    /** Decodes a state; empty if the bytes are corrupt or contain a record that cannot be read. */
+    static Optional<ConfigurationState> decode(byte[] bytes, RecordReader recordReader) {
+        return StateReader.readCompressed(bytes, reader -> read(reader, recordReader));
     }
 
     private static Optional<ConfigurationState> read(StateReader reader, RecordReader recordReader) {
--- a/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointPublisher.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointPublisher.java
@@ -5,8 +5,8 @@
 import org.quetzalshunt.core.log.StreamSession;
 
 /**
- * Re-publishes what is in force before retention takes its records, when this process's turn comes. The host calls
- * {@link #tick} beside the session's, never from a listener of the fold.
+ * Publishes checkpoints of the configuration, so that it outlives the records that retention deletes. The host calls
+ * {@link #tick} next to the session's tick, not from within a configuration listener.
  */
 public final class CheckpointPublisher {
     private final Configuration configuration;
@@ -14,8 +14,8 @@
     private final RecordWriter writer;
     private final CheckpointSchedule schedule;
     private final int maximumPartBytes;
-    private int partsUnderWay;
-    private long published;
+    private int pendingParts;
+    private long publishedCheckpoints;
 
     private CheckpointPublisher(
             Configuration configuration,
@@ -31,10 +31,10 @@
     }
 
     /**
-     * Makes a publisher.
+     * Creates a publisher.
      *
-     * @param session the session that folds into the configuration
-     * @param maximumPartBytes largest part of a checkpoint's state in one record
+     * @param session session that applies the stream to the configuration
+     * @param maximumPartBytes maximum bytes of state in one checkpoint record
      */
     public static CheckpointPublisher create(
             Configuration configuration,
@@ -45,10 +45,10 @@
         return new CheckpointPublisher(configuration, session, writer, schedule, maximumPartBytes);
     }
 
-    /** Publishes when it is due and the state is whole. */
+    /** Publishes a checkpoint if one is due, the state is complete and no earlier one is still being appended. */
     public void tick(long nowMillis) {
-        boolean knowsAll = configuration.complete() && session.caughtUp();
-        if (!knowsAll || session.next() == 0 || partsUnderWay > 0) {
+        boolean upToDate = configuration.complete() && session.caughtUp();
+        if (!upToDate || session.next() == 0 || pendingParts > 0) {
             return;
         }
         if (schedule.isDue(nowMillis, configuration.lastCheckpointCoversBelow(), session.firstKept())) {
@@ -56,16 +56,16 @@
         }
     }
 
-    /** Checkpoints that this process has published since its start. */
-    public long published() {
-        return published;
+    /** Number of checkpoints published since the start of the process. */
+    public long publishedCheckpoints() {
+        return publishedCheckpoints;
     }
 
     private void publish(long nowMillis) {
-        published++;
+        publishedCheckpoints++;
         for (CheckpointChange part : configuration.checkpointChanges(maximumPartBytes)) {
-            partsUnderWay++;
-            session.submit(nowMillis, writer.write(part), submission -> partsUnderWay--);
+            pendingParts++;
+            session.submit(nowMillis, writer.write(part), submission -> pendingParts--);
         }
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
@@ -10,28 +10,29 @@
 import org.quetzalshunt.core.log.LogFold;
 
 /**
- * Fold of the configuration stream: documents by compare-and-set on their version, which is the offset of the record;
- * the first valid record wins. A record that cannot be read is skipped and reported, by every reader alike.
+ * The configuration of a deployment, built by applying the records of the configuration stream. A document is changed
+ * by compare-and-set on its version, which is the offset of its record, so the first valid change wins. Every reader
+ * skips and counts the same unreadable records.
  *
- * <p>After a gap the state is kept but {@link #complete} is false, until a checkpoint that covers the gap has come: the
- * state then is the checkpoint's, and the records from its offset on are applied anew.
+ * <p>After a gap the old state is kept, but {@link #complete} is false until a checkpoint that covers the gap has been
+ * read. Then the state is replaced by the checkpoint's, and the records from its offset on are applied.
  */
 public final class Configuration implements LogFold {
-    /** Records between a gap and the next checkpoint are few; more than this would be a flood of foreign records. */
-    private static final int MAXIMUM_HELD_BYTES = 64 * 1024 * 1024;
+    /** Far above the usual size of the records between a gap and the next checkpoint; bounds memory use. */
+    private static final int MAXIMUM_BUFFERED_BYTES = 64 * 1024 * 1024;
 
-    private static final int REMEMBERED_INVALID = 100;
+    private static final int MAXIMUM_INVALID_OFFSETS = 100;
 
     private final RecordReader reader;
     private final CheckpointParts checkpointParts = CheckpointParts.create();
     private final List<Runnable> listeners = new ArrayList<>();
-    private final List<AcceptedRecord> sinceGap = new ArrayList<>();
+    private final List<AcceptedRecord> bufferedRecords = new ArrayList<>();
     private final List<Long> invalidOffsets = new ArrayList<>();
     private ConfigurationState state = new ConfigurationState();
     private KeyIndex keys = KeyIndex.of(List.of());
     private boolean complete = true;
     private long gapEnd;
-    private long heldBytes;
+    private long bufferedBytes;
     private long next;
     private long invalidRecords;
     private long lastCheckpointCoversBelow = -1;
@@ -40,7 +41,7 @@
         this.reader = reader;
     }
 
-    /** Makes an empty configuration at offset 0. */
+    /** Creates an empty configuration at offset 0. */
     public static Configuration create(RecordReader reader) {
         return new Configuration(reader);
     }
@@ -57,13 +58,13 @@
             applyCheckpoint(offset, checkpoint);
             return;
         }
-        AcceptedRecord placed = new AcceptedRecord(offset, record);
+        AcceptedRecord accepted = new AcceptedRecord(offset, record);
         if (!complete) {
-            hold(placed);
+            buffer(accepted);
             return;
         }
-        if (state.apply(placed, change.get())) {
-            changed();
+        if (state.apply(accepted, change.get())) {
+            onStateChanged();
         }
     }
 
@@ -72,14 +73,14 @@
         complete = false;
         gapEnd = firstKept;
         next = firstKept;
-        sinceGap.clear();
-        heldBytes = 0;
+        bufferedRecords.clear();
+        bufferedBytes = 0;
     }
 
     @Override
     public void malformed(long offset) {
         invalidRecords++;
-        if (invalidOffsets.size() == REMEMBERED_INVALID) {
+        if (invalidOffsets.size() == MAXIMUM_INVALID_OFFSETS) {
             invalidOffsets.remove(0);
         }
         invalidOffsets.add(offset);
@@ -90,37 +91,37 @@
         next = position;
     }
 
-    /** The document in force for a service. */
+    /** The current document of a service; empty if there is none or it was removed. */
     public Optional<VersionedDocument> document(String service) {
         return state.documents().current(service).filter(Predicate.not(VersionedDocument::removed));
     }
 
-    /** Version on which the next change of a service must be based; counts a removal as a version. */
+    /** Version on which the next change of a service must be based; a removal also counts as a version. */
     public long currentVersion(String service) {
         return state.documents().currentVersion(service);
     }
 
-    /** Documents in force, by service name. */
+    /** The current documents, sorted by service name. */
     public List<VersionedDocument> documents() {
         return state.documents().live();
     }
 
-    /** Versions of a service that are kept, oldest first, with removals. */
+    /** The kept versions of a service's document, oldest first, including removals. */
     public List<VersionedDocument> history(String service) {
         return state.documents().history(service);
     }
 
-    /** The account of a key at a service, compared in constant time. */
+    /** Finds the client account of a key at a service. Key hashes are compared in constant time. */
     public Optional<KeyOwner> authenticate(String service, String keyHashHex) {
         return keys.find(service, keyHashHex);
     }
 
-    /** The account of a key that is in force at any service. */
+    /** Finds the name of the client account of a key that is valid at any service. */
     public Optional<String> accountOfKey(String keyHashHex) {
         return keys.findAccount(keyHashHex);
     }
 
-    /** The generation of rate sharing in force. */
+    /** The current set of VMs that share the client accounts' rates. */
     public Optional<LimitGenerationState> limitGeneration() {
         return state.generation();
     }
@@ -130,50 +131,50 @@
         return state.audit();
     }
 
-    /** Offset that is folded next. */
+    /** Offset that is applied next. */
     public long next() {
         return next;
     }
 
-    /** Whether the state is that of a reader that saw every record; otherwise nothing may be decided on it. */
+    /** Whether the state reflects every record of the stream. If not, no decision may be based on it. */
     public boolean complete() {
         return complete;
     }
 
-    /** Records skipped because they could not be read, since the start. */
+    /** Number of records skipped since the start because they could not be read. */
     public long invalidRecords() {
         return invalidRecords;
     }
 
-    /** Offsets of the newest of them. */
+    /** Offsets of the newest records that could not be read. */
     public List<Long> invalidOffsets() {
         return List.copyOf(invalidOffsets);
     }
 
-    /** Version that a change got; empty when it was void or has not been folded. */
-    public Optional<Long> versionOutcome(String changeId) {
+    /** Version that a change got; empty if it was rejected or has not been applied. */
+    public Optional<Long> acceptedVersion(String changeId) {
         return outcome(changeId).filter(ChangeOutcome::accepted).map(ChangeOutcome::version);
     }
 
-    /** What became of a change; empty when it has not been folded, or long ago. */
+    /** Outcome of a change; empty if it has not been applied yet, or so long ago that its outcome was dropped. */
     public Optional<ChangeOutcome> outcome(String changeId) {
         return Optional.ofNullable(state.outcomes().get(changeId));
     }
 
-    /** Runs an action after each change of the state, on the folding thread. */
+    /** Adds a listener that runs after each change of the state, on the thread that applies records. */
     public void onChange(Runnable listener) {
         listeners.add(listener);
     }
 
-    /** State in binary form; equal at all complete readers of the same offset. */
+    /** The encoded state. Equal at all readers that have applied the stream up to the same offset without a gap. */
     public byte[] checkpoint() {
-        return CheckpointForm.encode(state);
+        return CheckpointCodec.encode(state);
     }
 
     /**
-     * The state as records for the stream; empty while the state is not complete.
+     * The state as checkpoint records for the stream; empty while the state is not complete.
      *
-     * @param maximumPartBytes largest part, in octets of state
+     * @param maximumPartBytes maximum bytes of state in one part
      */
     public List<CheckpointChange> checkpointChanges(int maximumPartBytes) {
         if (!complete) {
@@ -187,57 +188,57 @@
         return changes;
     }
 
-    /** Offset below which the newest whole checkpoint covers the stream; -1 when none was seen. */
+    /** Offset below which the newest complete checkpoint covers the stream; -1 if none was read. */
     public long lastCheckpointCoversBelow() {
         return lastCheckpointCoversBelow;
     }
 
-    private void hold(AcceptedRecord record) {
-        if (heldBytes + record.record().length > MAXIMUM_HELD_BYTES) {
+    private void buffer(AcceptedRecord record) {
+        if (bufferedBytes + record.record().length > MAXIMUM_BUFFERED_BYTES) {
             return;
         }
-        heldBytes += record.record().length;
-        sinceGap.add(record);
+        bufferedBytes += record.record().length;
+        bufferedRecords.add(record);
     }
 
     private void applyCheckpoint(long offset, CheckpointChange change) {
-        // A checkpoint speaks of what lies before it; one that covers its own place comes from a broken writer.
+        // A checkpoint can only cover offsets before its own; anything else comes from a faulty writer.
         if (change.coversBelow() > offset) {
             malformed(offset);
             return;
         }
-        Optional<byte[]> whole =
+        Optional<byte[]> encoded =
                 checkpointParts.add(change.coversBelow(), change.part(), change.parts(), change.state());
-        if (whole.isEmpty()) {
+        if (encoded.isEmpty()) {
             return;
         }
-        Optional<ConfigurationState> covered = CheckpointForm.decode(whole.get(), reader);
-        if (covered.isEmpty()) {
+        Optional<ConfigurationState> decoded = CheckpointCodec.decode(encoded.get(), reader);
+        if (decoded.isEmpty()) {
             malformed(offset);
             return;
         }
         lastCheckpointCoversBelow = Math.max(lastCheckpointCoversBelow, change.coversBelow());
-        // A complete state has seen every record that the checkpoint covers, so it can only be as new or newer:
-        // taking the checkpoint could bring back an older version. One that ends before the gap does lacks records.
+        // A complete state includes every record that the checkpoint covers, and restoring the checkpoint could bring
+        // back older versions. A checkpoint that ends within the gap lacks the rest of the gap's records.
         if (!complete && change.coversBelow() >= gapEnd) {
-            restore(covered.get(), change.coversBelow());
+            restore(decoded.get(), change.coversBelow());
         }
     }
 
     private void restore(ConfigurationState restored, long coversBelow) {
         state = restored;
         complete = true;
-        for (AcceptedRecord record : sinceGap) {
+        for (AcceptedRecord record : bufferedRecords) {
             if (record.offset() >= coversBelow) {
                 reader.read(record.record()).ifPresent(change -> state.apply(record, change));
             }
         }
-        sinceGap.clear();
-        heldBytes = 0;
-        changed();
+        bufferedRecords.clear();
+        bufferedBytes = 0;
+        onStateChanged();
     }
 
-    private void changed() {
+    private void onStateChanged() {
         keys = KeyIndex.of(state.documents().live());
         listeners.forEach(Runnable::run);
     }
--- a/core/src/main/java/org/quetzalshunt/core/configuration/ConfigurationChange.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/ConfigurationChange.java
@@ -4,22 +4,22 @@
 import org.quetzalshunt.core.document.ServiceDocument;
 import org.quetzalshunt.core.limit.LimitGenerationRecord;
 
-/** A record of the configuration stream, read. */
+/** A decoded record of the configuration stream. */
 public sealed interface ConfigurationChange {
-    /** Version on which the first document of a service is based. */
+    /** Base version of a service's first document. */
     long NO_VERSION = -1;
 
     /**
-     * A document is put or taken away.
+     * Puts or removes a service's document.
      *
      * @param service name of the service
-     * @param basedOnVersion version that the author saw, {@link #NO_VERSION} for a service that never was
-     * @param team team on whose behalf it is put
-     * @param author who puts it
-     * @param putMillis when, by the clock of the VM that took it
-     * @param changeId unique name of the change, by which its author finds what became of it
-     * @param document what is declared; empty to remove the service
-     * @param sourceText text as its author wrote it
+     * @param basedOnVersion version that the change replaces; {@link #NO_VERSION} for a service that never existed
+     * @param team team on whose behalf the change is made
+     * @param author person or tool that makes the change
+     * @param putMillis time of the change, by the clock of the VM that accepted it
+     * @param changeId unique id of the change, by which its outcome can be found
+     * @param document new document; empty to remove the service
+     * @param sourceText document as written by its author
      */
     record DocumentChange(
             String service,
@@ -33,40 +33,40 @@
             implements ConfigurationChange {}
 
     /**
-     * What the system made of something, for operators.
+     * An audit entry that tells operators how the system handled an event.
      *
-     * @param author who or what caused it
-     * @param notedMillis when, by the clock of the VM that noted it
+     * @param author person or component that caused the event
+     * @param notedMillis time of the entry, by the clock of the VM that wrote it
      * @param resultCode number of the result code
-     * @param service service that it is about
-     * @param detail what happened; never content, never a key
+     * @param service service that the event concerns
+     * @param detail description of the event; never contains request content or keys
      */
     record AuditEntry(String author, long notedMillis, int resultCode, String service, String detail)
             implements ConfigurationChange {}
 
     /**
-     * The set of VMs that share the client accounts' rates.
+     * Replaces the set of VMs that share the client accounts' rates.
      *
-     * @param generation who has a part, and which generation it follows
-     * @param notedMillis when, by the proposer's clock
+     * @param generation VMs with a share, and the generation that this one replaces
+     * @param notedMillis time of the proposal, by the proposer's clock
      */
     record LimitGenerationChange(LimitGenerationRecord generation, long notedMillis) implements ConfigurationChange {}
 
     /**
-     * A part of the state below an offset, for readers that start after retention.
+     * One part of a snapshot of the state below an offset, for readers whose missing records retention has deleted.
      *
-     * @param coversBelow offset below which the state replaces all records
+     * @param coversBelow offset below which the snapshot replaces all records
      * @param part number of this part, from 0
      * @param parts number of parts
-     * @param state octets of the part
+     * @param state bytes of the part
      */
     record CheckpointChange(long coversBelow, int part, int parts, byte[] state) implements ConfigurationChange {}
 
     /**
-     * A record of a subsystem, which the configuration does not read itself.
+     * A record of another subsystem, which the configuration ignores.
      *
-     * @param kind name of the subsystem's record
-     * @param payload its octets
+     * @param kind type of the subsystem's record
+     * @param payload bytes of the record
      */
     record OpaqueChange(String kind, byte[] payload) implements ConfigurationChange {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/configuration/ConfigurationState.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/ConfigurationState.java
@@ -11,18 +11,18 @@
 import org.quetzalshunt.core.configuration.ConfigurationChange.DocumentChange;
 import org.quetzalshunt.core.configuration.ConfigurationChange.LimitGenerationChange;
 
-/** Everything that the configuration stream says below one offset. A function of the stream alone. */
+/** The state that results from applying the configuration stream up to an offset. Depends on the stream alone. */
 final class ConfigurationState {
-    private static final int REMEMBERED_OUTCOMES = 1_024;
-    private static final int REMEMBERED_AUDIT_ENTRIES = 200;
+    private static final int MAXIMUM_OUTCOMES = 1_024;
+    private static final int MAXIMUM_AUDIT_ENTRIES = 200;
 
     private final DocumentTable documents = new DocumentTable();
     private final Map<String, ChangeOutcome> outcomes = new LinkedHashMap<>();
-    private final Deque<Audit> audit = new ArrayDeque<>();
+    private final Deque<AcceptedAudit> audit = new ArrayDeque<>();
     private AcceptedRecord generationRecord;
     private LimitGenerationState generation;
 
-    /** Applies a change at its place in the stream; false when it is void there. */
+    /** Applies a change at its position in the stream; false if it is void there. */
     boolean apply(AcceptedRecord record, ConfigurationChange change) {
         if (change instanceof DocumentChange document) {
             return applyDocument(record, document);
@@ -33,7 +33,7 @@
         return restore(record, change);
     }
 
-    /** Takes a record that a checkpoint holds, and which was valid where it stood. */
+    /** Restores a record from a checkpoint, which contains only records that were valid at their position. */
     boolean restore(AcceptedRecord record, ConfigurationChange change) {
         if (change instanceof DocumentChange document) {
             documents.put(record, document);
@@ -44,8 +44,8 @@
             return true;
         }
         if (change instanceof AuditEntry entry) {
-            audit.addLast(new Audit(record, entry));
-            if (audit.size() > REMEMBERED_AUDIT_ENTRIES) {
+            audit.addLast(new AcceptedAudit(record, entry));
+            if (audit.size() > MAXIMUM_AUDIT_ENTRIES) {
                 audit.removeFirst();
             }
             return true;
@@ -55,7 +55,7 @@
 
     void restoreOutcome(String changeId, ChangeOutcome outcome) {
         outcomes.put(changeId, outcome);
-        if (outcomes.size() > REMEMBERED_OUTCOMES) {
+        if (outcomes.size() > MAXIMUM_OUTCOMES) {
             outcomes.remove(outcomes.keySet().iterator().next());
         }
     }
@@ -69,14 +69,14 @@
     }
 
     List<AuditEntry> audit() {
-        return audit.stream().map(Audit::entry).toList();
+        return audit.stream().map(AcceptedAudit::entry).toList();
     }
 
     Optional<LimitGenerationState> generation() {
         return Optional.ofNullable(generation);
     }
 
-    /** Every record kept: documents, then audit entries, then the generation. */
+    /** All kept records: documents, then audit entries, then the generation of rate sharing. */
     List<AcceptedRecord> records() {
         List<AcceptedRecord> records = new ArrayList<>(documents.records());
         audit.forEach(entry -> records.add(entry.record()));
@@ -111,5 +111,5 @@
         generation = new LimitGenerationState(record.offset(), change.generation(), change.notedMillis());
     }
 
-    private record Audit(AcceptedRecord record, AuditEntry entry) {}
+    private record AcceptedAudit(AcceptedRecord record, AuditEntry entry) {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/configuration/DocumentTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/DocumentTable.java
@@ -11,51 +11,51 @@
 import org.quetzalshunt.core.configuration.ConfigurationChange.DocumentChange;
 
 /**
- * Versions of each service's document, oldest first. Bounded by rules that depend on the stream alone, so that every
- * reader keeps the same ones.
+ * The versions of each service's document, oldest first. Old versions are dropped by rules that depend on the stream
+ * alone, so that every reader keeps the same versions.
  */
 final class DocumentTable {
-    private static final int VERSIONS_PER_SERVICE = 10;
-    private static final int LIVE_SERVICES = 256;
-    private static final int REMOVED_SERVICES = 256;
+    private static final int MAXIMUM_VERSIONS_PER_SERVICE = 10;
+    private static final int MAXIMUM_LIVE_SERVICES = 256;
+    private static final int MAXIMUM_REMOVED_SERVICES = 256;
 
-    /** Former versions of all services together. */
-    private static final long HISTORY_BYTES = 4L * 1024 * 1024;
+    /** Total size of the former versions of all services. */
+    private static final long MAXIMUM_HISTORY_BYTES = 4L * 1024 * 1024;
 
     private final TreeMap<String, Deque<Version>> byService = new TreeMap<>();
     private long historyBytes;
 
-    /** Applies a change at its place in the stream; false when it is void there. */
+    /** Applies a change at its position in the stream; false if it is void there. */
     boolean apply(AcceptedRecord record, DocumentChange change) {
-        if (change.basedOnVersion() != currentVersion(change.service()) || !teamMayChange(change)) {
+        if (change.basedOnVersion() != currentVersion(change.service()) || !isTeamAllowed(change)) {
             return false;
         }
-        if (change.document().isPresent() && liveCount() >= LIVE_SERVICES && !isLive(change.service())) {
+        if (change.document().isPresent() && liveCount() >= MAXIMUM_LIVE_SERVICES && !isLive(change.service())) {
             return false;
         }
         put(record, change);
         return true;
     }
 
-    /** Takes a version as it stands in a checkpoint, where it was found valid. */
+    /** Adds a version that is known to be valid, such as one from a checkpoint. */
     void put(AcceptedRecord record, DocumentChange change) {
         Deque<Version> versions = byService.computeIfAbsent(change.service(), ignored -> new ArrayDeque<>());
         if (!versions.isEmpty()) {
             historyBytes += versions.peekLast().record().record().length;
         }
         versions.addLast(new Version(record, versioned(record.offset(), change)));
-        if (versions.size() > VERSIONS_PER_SERVICE) {
+        if (versions.size() > MAXIMUM_VERSIONS_PER_SERVICE) {
             dropFirst(versions);
         }
-        boundHistory();
-        boundRemoved();
+        trimHistory();
+        trimRemovedServices();
     }
 
     long currentVersion(String service) {
         return current(service).map(VersionedDocument::version).orElse(ConfigurationChange.NO_VERSION);
     }
 
-    /** Newest version, also when it takes the service away. */
+    /** The newest version, even if it is a removal. */
     Optional<VersionedDocument> current(String service) {
         return Optional.ofNullable(byService.get(service)).map(Deque::peekLast).map(Version::document);
     }
@@ -73,7 +73,7 @@
                 .toList();
     }
 
-    /** Every record kept, in the order of the stream. */
+    /** All kept records, in stream order. */
     List<AcceptedRecord> records() {
         List<AcceptedRecord> records = new ArrayList<>();
         byService.values().forEach(versions -> versions.forEach(version -> records.add(version.record())));
@@ -81,16 +81,16 @@
         return records;
     }
 
-    private boolean teamMayChange(DocumentChange change) {
-        boolean ownDocument = change.document()
+    private boolean isTeamAllowed(DocumentChange change) {
+        boolean isOwnDocument = change.document()
                 .map(document ->
                         document.team().equals(change.team()) && document.name().equals(change.service()))
                 .orElse(true);
-        boolean ownService = current(change.service())
+        boolean isOwnService = current(change.service())
                 .filter(Predicate.not(VersionedDocument::removed))
-                .map(present -> present.team().equals(change.team()))
+                .map(existing -> existing.team().equals(change.team()))
                 .orElse(true);
-        return ownDocument && ownService;
+        return isOwnDocument && isOwnService;
     }
 
     private boolean isLive(String service) {
@@ -105,8 +105,8 @@
                 .count();
     }
 
-    private void boundHistory() {
-        while (historyBytes > HISTORY_BYTES) {
+    private void trimHistory() {
+        while (historyBytes > MAXIMUM_HISTORY_BYTES) {
             Optional<Deque<Version>> oldest = byService.values().stream()
                     .filter(versions -> versions.size() > 1)
                     .min(Comparator.comparingLong(
@@ -118,18 +118,18 @@
         }
     }
 
-    private void boundRemoved() {
-        if (byService.size() - liveCount() <= REMOVED_SERVICES) {
+    private void trimRemovedServices() {
+        if (byService.size() - liveCount() <= MAXIMUM_REMOVED_SERVICES) {
             return;
         }
         byService.entrySet().stream()
                 .filter(entry -> entry.getValue().peekLast().document().removed())
                 .min(Comparator.comparingLong(
                         entry -> entry.getValue().peekLast().record().offset()))
-                .ifPresent(entry -> forget(entry.getKey()));
+                .ifPresent(entry -> removeService(entry.getKey()));
     }
 
-    private void forget(String service) {
+    private void removeService(String service) {
         Deque<Version> versions = byService.remove(service);
         while (versions.size() > 1) {
             dropFirst(versions);
--- a/core/src/main/java/org/quetzalshunt/core/configuration/Freshness.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/Freshness.java
@@ -5,23 +5,25 @@
 import java.util.Map;
 
 /**
- * A node's proof that its configuration is current. Guards against a withdrawn key or a replaced document that stays
- * in use at a node which cannot hear of the change.
+ * Decides whether this node's configuration is recent enough to serve requests, so that a node that cannot receive
+ * changes stops accepting withdrawn keys and using replaced documents.
  *
- * <p>Any of three proofs will do, each no older than the limit: an own read of the log to its end; the word of one peer
- * that read the log itself and found nothing beyond what is folded here; or the word of every peer listed that it knows
- * of nothing beyond that. The last holds in a whole outage of the log: a change is accepted only by a peer that reads
- * it back, and that peer would say so. A node cut off alone has none of the three.
+ * <p>The configuration is fresh if one of these conditions was met within the time limit:
  *
- * <p>Ages are measured on this node's clock alone: what a peer says is dated by the moment at which this node sent the
- * message that the peer echoed, which is before it spoke.
+ * <ul> <li>This node read the log to its end. <li>A peer read the log to its end, and no peer has reported a newer
+ * offset than this node has applied. <li>Every listed peer sent a report, and none has reported a newer offset. This
+ * keeps the nodes in service during a complete outage of the log: a change is acknowledged only by a node that has read
+ * it back from the log, and that node would report the newer offset. </ul>
+ *
+ * <p>A single node that is cut off meets none of them. All ages are measured with this node's clock: a peer's report
+ * counts as made at the time when this node sent the message that the peer echoed, which is before the actual time.
  */
 public final class Freshness {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final long limitMillis;
-    private final Map<String, Word> words = new HashMap<>();
-    private boolean peersKnown;
+    private final Map<String, PeerReport> reports = new HashMap<>();
+    private boolean hasPeerList;
     private long readMillis = NEVER;
 
     private Freshness(long limitMillis) {
@@ -29,70 +31,71 @@
     }
 
     /**
-     * Makes one without proof.
+     * Creates an instance that is not fresh.
      *
-     * @param limitMillis age at which a proof no longer counts
+     * @param limitMillis maximum age of a read or report
      */
     public static Freshness create(long limitMillis) {
         return new Freshness(limitMillis);
     }
 
-    /** The log was read to its end by a read that started at this time. */
+    /** Reports that this node read the log to its end, by a read that started at this time. */
     public void readToEnd(long startedMillis) {
         readMillis = Math.max(readMillis, startedMillis);
     }
 
-    /** The peers listed now, without this node: those that can accept a change. */
+    /** Sets the current peers, without this node. They are the other nodes that can accept a change. */
     public void peersListed(Collection<String> peers) {
-        peersKnown = true;
-        words.keySet().retainAll(peers);
-        peers.forEach(peer -> words.putIfAbsent(peer, Word.NONE));
+        hasPeerList = true;
+        reports.keySet().retainAll(peers);
+        peers.forEach(peer -> reports.putIfAbsent(peer, PeerReport.NONE));
     }
 
     /**
-     * A peer said where its configuration stands.
+     * Processes a peer's report on its configuration.
      *
-     * @param peer its name; one that is not listed counts once it is
-     * @param configurationNext offset that it folds next
-     * @param configurationAgeMillis age of its own last read of the log, negative when it has none
-     * @param spokenAfterMillis a time on this node's clock before the peer spoke: when this node sent what it echoed
+     * @param peer name of the peer; a peer that is not listed is remembered until the next list
+     * @param configurationNext offset that the peer applies next
+     * @param configurationAgeMillis age of the peer's own last read of the log; negative if it has none
+     * @param spokenAfterMillis time on this node's clock before the report was made: when this node sent the message
+     *     that the peer echoed
      */
     public void heard(String peer, long configurationNext, long configurationAgeMillis, long spokenAfterMillis) {
-        Word former = words.getOrDefault(peer, Word.NONE);
+        PeerReport previous = reports.getOrDefault(peer, PeerReport.NONE);
         long read = configurationAgeMillis < 0 ? NEVER : spokenAfterMillis - configurationAgeMillis;
-        words.put(
+        reports.put(
                 peer,
-                new Word(
-                        Math.max(former.next(), configurationNext),
-                        Math.max(former.spokenMillis(), spokenAfterMillis),
-                        Math.max(former.readMillis(), read)));
+                new PeerReport(
+                        Math.max(previous.next(), configurationNext),
+                        Math.max(previous.madeAfterMillis(), spokenAfterMillis),
+                        Math.max(previous.readMillis(), read)));
     }
 
     /**
-     * Whether there is proof.
+     * Whether this node's configuration is fresh.
      *
-     * @param configurationNext offset that this node folds next
+     * @param configurationNext offset that this node applies next
      */
     public boolean fresh(long nowMillis, long configurationNext) {
-        long since = nowMillis - limitMillis;
-        if (readMillis >= since) {
+        long oldestAccepted = nowMillis - limitMillis;
+        if (readMillis >= oldestAccepted) {
             return true;
         }
-        if (words.values().stream().anyMatch(word -> word.next() > configurationNext)) {
+        if (reports.values().stream().anyMatch(report -> report.next() > configurationNext)) {
             return false;
         }
-        if (words.values().stream().anyMatch(word -> word.readMillis() >= since)) {
+        if (reports.values().stream().anyMatch(report -> report.readMillis() >= oldestAccepted)) {
             return true;
         }
-        return peersKnown && words.values().stream().allMatch(word -> word.spokenMillis() >= since);
+        return hasPeerList && reports.values().stream().allMatch(report -> report.madeAfterMillis() >= oldestAccepted);
     }
 
-    /** Age of the newest read of the log by this node, in milliseconds; -1 when it never read it. */
+    /** Age of this node's last read of the log, in milliseconds; -1 if there was none. */
     public long ageMillis(long nowMillis) {
         return readMillis == NEVER ? -1 : nowMillis - readMillis;
     }
 
-    private record Word(long next, long spokenMillis, long readMillis) {
-        static final Word NONE = new Word(0, NEVER, NEVER);
+    private record PeerReport(long next, long madeAfterMillis, long readMillis) {
+        static final PeerReport NONE = new PeerReport(0, NEVER, NEVER);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/configuration/KeyIndex.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/KeyIndex.java
@@ -11,12 +11,12 @@
 import org.quetzalshunt.core.document.ClientAccount;
 
 /**
- * Finds the client account of a key's hash. Candidates are found by the first octets of the hash and compared in
- * constant time: what the look-up's duration could tell is a prefix of a hash, from which no key can be made.
+ * Finds the client account for the hash of a key. Candidates are looked up by a prefix of the hash and compared in
+ * constant time. The timing of a look-up can reveal at most a hash prefix, from which the key cannot be derived.
  */
 final class KeyIndex {
-    private static final int PREFIX_DIGITS = 15;
-    private static final int HASH_DIGITS = 64;
+    private static final int PREFIX_HEX_DIGITS = 15;
+    private static final int HASH_HEX_DIGITS = 64;
     private static final int HEXADECIMAL = 16;
 
     private final Long2ObjectHashMap<List<Entry>> byPrefix = new Long2ObjectHashMap<>();
@@ -33,34 +33,34 @@
     }
 
     Optional<KeyOwner> find(String service, String keyHash) {
-        return first(keyHash, owner -> owner.service().equals(service));
+        return findFirst(keyHash, owner -> owner.service().equals(service));
     }
 
     Optional<String> findAccount(String keyHash) {
-        return first(keyHash, owner -> true).map(KeyOwner::account).map(ClientAccount::name);
+        return findFirst(keyHash, owner -> true).map(KeyOwner::account).map(ClientAccount::name);
     }
 
     private void add(String hash, KeyOwner owner) {
-        if (hash.length() != HASH_DIGITS) {
+        if (hash.length() != HASH_HEX_DIGITS) {
             return;
         }
         byPrefix.computeIfAbsent(prefix(hash), ignored -> new ArrayList<>(1))
                 .add(new Entry(hash.getBytes(StandardCharsets.US_ASCII), owner));
     }
 
-    private Optional<KeyOwner> first(String keyHash, Predicate<KeyOwner> wanted) {
-        if (keyHash.length() != HASH_DIGITS) {
+    private Optional<KeyOwner> findFirst(String keyHash, Predicate<KeyOwner> filter) {
+        if (keyHash.length() != HASH_HEX_DIGITS) {
             return Optional.empty();
         }
         List<Entry> candidates = byPrefix.get(prefix(keyHash));
         if (candidates == null) {
             return Optional.empty();
         }
-        byte[] shown = keyHash.getBytes(StandardCharsets.US_ASCII);
+        byte[] expectedHash = keyHash.getBytes(StandardCharsets.US_ASCII);
         KeyOwner found = null;
         for (Entry candidate : candidates) {
-            boolean equal = MessageDigest.isEqual(candidate.hash(), shown);
-            if (equal && found == null && wanted.test(candidate.owner())) {
+            boolean equal = MessageDigest.isEqual(candidate.hash(), expectedHash);
+            if (equal && found == null && filter.test(candidate.owner())) {
                 found = candidate.owner();
             }
         }
@@ -69,8 +69,8 @@
 
     private static long prefix(String hash) {
         try {
-            return Long.parseLong(hash.substring(0, PREFIX_DIGITS), HEXADECIMAL);
-        } catch (NumberFormatException noHash) {
+            return Long.parseLong(hash.substring(0, PREFIX_HEX_DIGITS), HEXADECIMAL);
+        } catch (NumberFormatException notHexadecimal) {
             return -1;
         }
     }
--- a/core/src/main/java/org/quetzalshunt/core/configuration/KeyOwner.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/KeyOwner.java
@@ -3,9 +3,9 @@
 import org.quetzalshunt.core.document.ClientAccount;
 
 /**
- * Whose key it is.
+ * The service and client account that a key belongs to.
  *
- * @param service service for which the key is in force
- * @param account client account that the key names
+ * @param service service at which the key is valid
+ * @param account client account that the key authenticates
  */
 public record KeyOwner(String service, ClientAccount account) {}
--- a/core/src/main/java/org/quetzalshunt/core/configuration/RecordReader.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/RecordReader.java
@@ -2,9 +2,9 @@
 
 import java.util.Optional;
 
-/** Reads the octets of a record. Must give the same answer for the same octets at every process. */
+/** Decodes the records of the configuration stream. Must return the same result for the same bytes in every process. */
 @FunctionalInterface
 public interface RecordReader {
-    /** The change that the octets hold; empty when they hold none, or one beyond the bounds. */
+    /** Decodes a change; empty if the bytes are malformed or the change exceeds a limit. */
     Optional<ConfigurationChange> read(byte[] record);
 }
--- a/core/src/main/java/org/quetzalshunt/core/configuration/RecordWriter.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/RecordWriter.java
@@ -1,8 +1,8 @@
 package org.quetzalshunt.core.configuration;
 
-/** Writes a change as the octets that a {@link RecordReader} reads. */
+/** Encodes the records of the configuration stream, which a {@link RecordReader} decodes. */
 @FunctionalInterface
 public interface RecordWriter {
-    /** Octets of the change. */
+    /** Encodes a change. */
     byte[] write(ConfigurationChange change);
 }
--- a/core/src/main/java/org/quetzalshunt/core/configuration/VersionedDocument.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/VersionedDocument.java
@@ -7,12 +7,12 @@
  * One version of a service's document.
  *
  * @param service name of the service
- * @param version offset of the record that brought it
- * @param document what was declared; empty when the service was removed
+ * @param version offset of the record that put it
+ * @param document the document; empty if this version removed the service
  * @param team team that owns it
- * @param author who put it
- * @param putMillis when it was put, by the clock of the VM that took it
- * @param sourceText text as its author wrote it
+ * @param author person or tool that put it
+ * @param putMillis time at which it was put, by the clock of the VM that accepted it
+ * @param sourceText document as written by its author
  */
 public record VersionedDocument(
         String service,
@@ -22,7 +22,7 @@
         String author,
         long putMillis,
         String sourceText) {
-    /** Whether this version takes the service away. */
+    /** Whether this version removed the service. */
     public boolean removed() {
         return document.isEmpty();
     }
--- a/core/src/main/java/org/quetzalshunt/core/configuration/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The configuration of a deployment as a fold over the configuration stream: service documents by compare-and-set on
- * their version, first valid record wins, at every reader alike. Records that cannot be read are skipped and reported.
+ * The configuration of a deployment, which every process builds from the records of the configuration stream. Service
+ * documents are changed by compare-and-set on their version. Records that cannot be read are skipped and counted.
  */
 package org.quetzalshunt.core.configuration;
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointPublisher.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointPublisher.java
@@ -52,7 +52,7 @@
     }
 
     /** Number of checkpoints started by this process. */
-    public long published() {
+    public long publishedCheckpoints() {
         return publishedCheckpoints;
     }
 }
--- a/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationNode.java
+++ b/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationNode.java
@@ -9,12 +9,12 @@
 import org.quetzalshunt.core.log.StreamSession;
 import org.quetzalshunt.core.log.StreamSettings;
 
-/** A process that follows the configuration stream of a fake log. */
+/** A process that reads and changes the configuration by the configuration stream of a fake log. */
 final class ConfigurationNode {
     static final int PART_BYTES = 300;
 
     final Configuration configuration = Configuration.create(TextRecords::read);
-    final Map<String, Optional<ChangeOutcome>> heard = new HashMap<>();
+    final Map<String, Optional<ChangeOutcome>> outcomes = new HashMap<>();
     final FakeLog.Transport transport;
     final StreamSession session;
     final CheckpointPublisher publisher;
@@ -47,7 +47,7 @@
         session.submit(
                 log.now(),
                 TextRecords.write(change),
-                submission -> heard.put(
+                submission -> outcomes.put(
                         change.changeId(),
                         submission.isFolded() ? configuration.outcome(change.changeId()) : Optional.empty()));
     }
--- a/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationRandomTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationRandomTest.java
@@ -14,25 +14,25 @@
 import org.quetzalshunt.core.log.FakeLog;
 
 /**
- * Operators change documents through four processes while the log keeps records for two minutes only, loses answers,
- * and processes are replaced. Seen from outside if it went wrong: a document put long ago is gone at a new VM, a version
- * comes back, or two VMs have different documents in force. Cause: state that lives in records which expire.
+ * Documents are changed through four processes while the log keeps records for two minutes only and processes are
+ * replaced. Guards against faults caused by expired records: a new process lacks an old document, an old version is
+ * restored, or two processes have different current documents.
  */
 final class ConfigurationRandomTest {
     private static final int NODES = 4;
     private static final long RETENTION_MILLIS = 120_000;
     private static final int RUN_MILLIS = 900_000;
 
-    /** A fleet at work: its log, and offsets with the time at which they came. */
-    private static final class Fleet {
+    /** A random run: the log, the running processes and the arrival time of each record. */
+    private static final class Scenario {
         final FakeLog log;
         final SplittableRandom random;
         final List<ConfigurationNode> nodes = new ArrayList<>();
         final List<Long> arrivals = new ArrayList<>();
-        int lives;
+        int startedNodes;
         int changes;
 
-        Fleet(long seed) {
+        Scenario(long seed) {
             log = new FakeLog(seed);
             random = new SplittableRandom(seed);
             for (int node = 0; node < NODES; node++) {
@@ -41,10 +41,10 @@
         }
 
         ConfigurationNode startNode() {
-            return ConfigurationNode.publishing(log, "vm#" + lives++, RETENTION_MILLIS);
+            return ConfigurationNode.publishing(log, "vm#" + startedNodes++, RETENTION_MILLIS);
         }
 
-        void millisecond() {
+        void step() {
             while (arrivals.size() < log.next()) {
                 arrivals.add(log.now());
             }
@@ -55,17 +55,17 @@
                 log.dropBelow(expired);
             }
             if (random.nextInt(8_000) == 0) {
-                putSomething(nodes.get(random.nextInt(NODES)));
+                submitRandomChange(nodes.get(random.nextInt(NODES)));
             }
             if (random.nextInt(60_000) == 0) {
-                int replaced = random.nextInt(NODES);
-                nodes.get(replaced).transport.crash();
-                nodes.set(replaced, startNode());
+                int index = random.nextInt(NODES);
+                nodes.get(index).transport.crash();
+                nodes.set(index, startNode());
             }
             nodes.forEach(ConfigurationNode::tick);
         }
 
-        private void putSomething(ConfigurationNode node) {
+        private void submitRandomChange(ConfigurationNode node) {
             String service = "service" + random.nextInt(5);
             long based = node.configuration.currentVersion(service);
             DocumentChange change = random.nextInt(10) == 0
@@ -81,27 +81,27 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void aLateStarterComesToTheStateOfThoseThatSawAll(long seed) {
-        Fleet fleet = new Fleet(seed);
-        Configuration sawAll = followAll(fleet);
-        fleet.log.run(RUN_MILLIS, fleet::millisecond);
-        ConfigurationNode late = fleet.startNode();
-        fleet.log.run(5_000, () -> {
-            fleet.nodes.forEach(node -> node.session.tick(fleet.log.now()));
-            late.session.tick(fleet.log.now());
+    void aProcessStartedLateReachesTheStateOfOneThatReadEveryRecord(long seed) {
+        Scenario scenario = new Scenario(seed);
+        Configuration complete = observeFromStart(scenario);
+        scenario.log.run(RUN_MILLIS, scenario::step);
+        ConfigurationNode lateNode = scenario.startNode();
+        scenario.log.run(5_000, () -> {
+            scenario.nodes.forEach(node -> node.session.tick(scenario.log.now()));
+            lateNode.session.tick(scenario.log.now());
         });
-        assertThat(fleet.log.next()).isGreaterThan(100);
-        assertThat(late.session.firstKept()).isGreaterThan(50);
-        assertThat(late.configuration.complete()).isTrue();
-        assertThat(late.configuration.checkpoint()).isEqualTo(sawAll.checkpoint());
+        assertThat(scenario.log.next()).isGreaterThan(100);
+        assertThat(lateNode.session.firstKept()).isGreaterThan(50);
+        assertThat(lateNode.configuration.complete()).isTrue();
+        assertThat(lateNode.configuration.checkpoint()).isEqualTo(complete.checkpoint());
         Set<Long> checkpoints = new HashSet<>();
-        fleet.nodes.forEach(node -> checkpoints.add(node.publisher.published()));
+        scenario.nodes.forEach(node -> checkpoints.add(node.publisher.publishedCheckpoints()));
         assertThat(checkpoints.stream().mapToLong(count -> count).sum()).isLessThan(60);
     }
 
-    private static Configuration followAll(Fleet fleet) {
-        ConfigurationNode observer = ConfigurationNode.start(fleet.log, "observer");
-        fleet.log.run(1, observer::tick);
+    private static Configuration observeFromStart(Scenario scenario) {
+        ConfigurationNode observer = ConfigurationNode.start(scenario.log, "observer");
+        scenario.log.run(1, observer::tick);
         return observer.configuration;
     }
 }
--- a/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationTest.java
@@ -33,13 +33,12 @@
     }
 
     /**
-     * Two operators of one team read version 0 and each put a change, one raising a rate, one withdrawing a key, through
-     * two entries at the same moment. Taking both would undo one of them unseen. Whichever comes first in the log wins
-     * at every reader, and the other operator hears which version is in force now.
+     * Two operators put changes based on the same version at the same time. Accepting both would silently undo one of
+     * them. The first in the log must win at every reader, and the other must get the current version.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void theFirstOfTwoRacingOperatorsWins(boolean ashaFirst) {
+    void theFirstOfTwoConcurrentChangesWins(boolean ashaFirst) {
         long created = fold(put("tutor", NO_VERSION, "create", hash(KEY)));
         DocumentChange asha = put("tutor", created, "asha", hash(OTHER_KEY));
         DocumentChange baraka = put("tutor", created, "baraka", hash(KEY), hash(OTHER_KEY));
@@ -47,17 +46,17 @@
         fold(ashaFirst ? baraka : asha);
         assertThat(configuration.document("tutor").map(VersionedDocument::version))
                 .hasValue(won);
-        assertThat(configuration.versionOutcome(ashaFirst ? "asha" : "baraka")).hasValue(won);
+        assertThat(configuration.acceptedVersion(ashaFirst ? "asha" : "baraka")).hasValue(won);
         assertThat(configuration.outcome(ashaFirst ? "baraka" : "asha")).hasValue(new ChangeOutcome(false, won));
     }
 
     /**
-     * An operator withdraws a key, and the log's answer is lost. Saying "failed" would be untrue if the change is in
-     * the log, repeating it blindly would be refused as a conflict with itself. Reading back finds it by its name.
+     * The log's answer to a change is lost. Reporting a failure could be wrong, and a blind retry would conflict with
+     * the first copy. The outcome must be found by reading the log back and looking up the change's id.
      */
     @ParameterizedTest
     @EnumSource(FakeLog.AppendFault.class)
-    void aPutWhoseAnswerIsLostIsResolvedByReadingBack(FakeLog.AppendFault fault) {
+    void aChangeWithALostAnswerIsResolvedByReadingBack(FakeLog.AppendFault fault) {
         ConfigurationNode entry = ConfigurationNode.start(log, "entry#1");
         ConfigurationNode other = ConfigurationNode.start(log, "other#1");
         Runnable ticks = () -> List.of(entry, other).forEach(ConfigurationNode::tick);
@@ -67,50 +66,49 @@
         log.failNextAppend(fault);
         entry.submit(put("tutor", 0, "withdraw", hash(OTHER_KEY)));
         log.run(4_000, ticks);
-        Optional<ChangeOutcome> outcome = entry.heard.get("withdraw");
+        Optional<ChangeOutcome> outcome = entry.outcomes.get("withdraw");
         assertThat(outcome.map(ChangeOutcome::accepted)).hasValue(true);
-        assertThat(other.configuration.versionOutcome("withdraw")).isEqualTo(outcome.map(ChangeOutcome::version));
+        assertThat(other.configuration.acceptedVersion("withdraw")).isEqualTo(outcome.map(ChangeOutcome::version));
         assertThat(other.configuration.authenticate("tutor", hash(KEY))).isEmpty();
     }
 
     /**
-     * A process stands still while a key is withdrawn and retention drops the record that says so. When it goes on, its
-     * state looks whole but still holds the key. It must know that it has missed something, decide nothing until a
-     * checkpoint has come, and then refuse the key.
+     * A process is paused while a key is withdrawn and retention deletes that record, so its state still contains the
+     * key. It must detect the gap, report its state as incomplete until it has read a checkpoint, and then reject the
+     * key.
      */
     @Test
-    void retentionOverAStoppedNodeLeavesNoWithdrawnKeyInForce() {
-        ConfigurationNode stopped = ConfigurationNode.start(log, "stopped#1");
+    void aKeyWithdrawnInAGapIsRejectedAfterTheNextCheckpoint() {
+        ConfigurationNode paused = ConfigurationNode.start(log, "stopped#1");
         ConfigurationNode running = ConfigurationNode.start(log, "running#1");
-        Runnable ticks = () -> List.of(stopped, running).forEach(ConfigurationNode::tick);
+        Runnable ticks = () -> List.of(paused, running).forEach(ConfigurationNode::tick);
         log.run(20, ticks);
         running.submit(put("tutor", NO_VERSION, "create", hash(KEY)));
         log.run(50, ticks);
-        assertThat(stopped.configuration.accountOfKey(hash(KEY))).hasValue("arusha");
-        stopped.transport.pause();
+        assertThat(paused.configuration.accountOfKey(hash(KEY))).hasValue("arusha");
+        paused.transport.pause();
         running.submit(put("other", NO_VERSION, "still answered to the read under way", hash(3)));
         log.run(50, running::tick);
         running.submit(put("tutor", 0, "withdraw", hash(OTHER_KEY)));
         log.run(50, running::tick);
         log.dropBelow(3);
-        stopped.transport.resume();
-        log.run(20, stopped::tick);
-        assertThat(stopped.configuration.complete()).isFalse();
+        paused.transport.resume();
+        log.run(20, paused::tick);
+        assertThat(paused.configuration.complete()).isFalse();
         running.publishCheckpoint();
         log.run(50, ticks);
-        assertThat(stopped.configuration.complete()).isTrue();
-        assertThat(stopped.configuration.authenticate("tutor", hash(KEY))).isEmpty();
-        assertThat(stopped.configuration.checkpoint()).isEqualTo(running.configuration.checkpoint());
+        assertThat(paused.configuration.complete()).isTrue();
+        assertThat(paused.configuration.authenticate("tutor", hash(KEY))).isEmpty();
+        assertThat(paused.configuration.checkpoint()).isEqualTo(running.configuration.checkpoint());
     }
 
     /**
-     * A process makes a checkpoint and stands still before it reaches the log. Meanwhile a key is withdrawn; then the
-     * old checkpoint lands behind the withdrawal. A reader that took it as it is would bring the key back, whether it
-     * has seen everything or starts late.
+     * A checkpoint is delayed and appended after a key was withdrawn that it still contains. Neither a reader that has
+     * applied every record nor one that starts after a gap may restore the key from it.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aCheckpointNeverBringsBackAnOlderVersion(boolean startsLate) {
+    void aDelayedCheckpointDoesNotRestoreAnOlderVersion(boolean startsLate) {
         long created = fold(put("tutor", NO_VERSION, "create", hash(KEY)));
         List<CheckpointChange> old = configuration.checkpointChanges(ConfigurationNode.PART_BYTES);
         long withdrawn = fold(put("tutor", created, "withdraw", hash(OTHER_KEY)));
@@ -129,9 +127,9 @@
         assertThat(reader.checkpoint()).isEqualTo(configuration.checkpoint());
     }
 
-    /** A checkpoint that ends before what a late starter can read lacks the records between, and must not be taken. */
+    /** A checkpoint that ends before the first record kept by the log lacks records, and must not be restored. */
     @Test
-    void aCheckpointThatEndsBeforeTheGapDoesIsNotTaken() {
+    void aCheckpointThatEndsWithinTheGapIsNotRestored() {
         fold(put("tutor", NO_VERSION, "create", hash(KEY)));
         List<CheckpointChange> old = configuration.checkpointChanges(ConfigurationNode.PART_BYTES);
         Configuration late = Configuration.create(TextRecords::read);
@@ -142,13 +140,13 @@
     }
 
     /**
-     * A faulty tool, or a VM of a newer version, appends a record that nobody can read, or a checkpoint that claims to
-     * cover what comes after it. Stopping at it would stop every process at once and again after each restart: it is
-     * skipped, and reported.
+     * A faulty tool or a newer version appends a record that cannot be read, or a checkpoint that claims to cover
+     * offsets after its own. If readers failed on it, every process would fail, and again after each restart. It must
+     * be skipped and counted.
      */
     @ParameterizedTest
     @ValueSource(strings = {"nonsense", "", "checkpoint 99 0 1 AAAAAAAAAAA=", "checkpoint 0 0 1 AAAAAAAAAAAAAAAA"})
-    void aRecordThatCannotBeReadIsSkippedAndReported(String record) {
+    void aRecordThatCannotBeReadIsSkippedAndCounted(String record) {
         long created = fold(put("tutor", NO_VERSION, "create", hash(KEY)));
         configuration.apply(next++, record.getBytes(StandardCharsets.UTF_8), 0);
         long changed = fold(put("tutor", created, "change", hash(OTHER_KEY)));
@@ -158,7 +156,7 @@
     }
 
     @Test
-    void aServiceTakenAwayComesBackOnlyOnItsLastVersion() {
+    void aRemovedServiceCanBePutAgainOnlyOnItsLastVersion() {
         long created = fold(put("tutor", NO_VERSION, "create", hash(KEY)));
         long removed = fold(remove("tutor", created, "remove"));
         fold(put("tutor", NO_VERSION, "blind", hash(KEY)));
@@ -170,16 +168,16 @@
     }
 
     @Test
-    void anotherTeamsDocumentIsLeftAlone() {
+    void aTeamCannotChangeAnotherTeamsDocument() {
         long created = fold(put("tutor", NO_VERSION, "create", hash(KEY)));
         DocumentChange own = put("tutor", created, "steal", hash(OTHER_KEY));
         fold(new DocumentChange("tutor", created, "kite", "ravi", 0, "steal", own.document(), ""));
         assertThat(configuration.currentVersion("tutor")).isEqualTo(created);
-        assertThat(configuration.versionOutcome("steal")).isEmpty();
+        assertThat(configuration.acceptedVersion("steal")).isEmpty();
     }
 
     @Test
-    void aKeyIsInForceForItsServiceWhileItsHashIsListed() {
+    void aKeyIsValidOnlyForItsServiceAndWhileItsHashIsListed() {
         long created = fold(put("tutor", NO_VERSION, "create", hash(KEY)));
         fold(put("planner", NO_VERSION, "planner", hash(3)));
         assertThat(configuration.authenticate("tutor", hash(KEY)).map(KeyOwner::service))
@@ -198,7 +196,7 @@
     }
 
     @Test
-    void partsOfTwoCheckpointsAreNeverJoined() {
+    void partsOfTwoCheckpointsAreNeverCombined() {
         fold(put("tutor", NO_VERSION, "create", hash(KEY), hash(3), hash(4), hash(5)));
         List<CheckpointChange> one = configuration.checkpointChanges(50);
         Configuration other = Configuration.create(TextRecords::read);
--- a/core/src/test/java/org/quetzalshunt/core/configuration/TextRecords.java
+++ b/core/src/test/java/org/quetzalshunt/core/configuration/TextRecords.java
@@ -11,7 +11,7 @@
 import org.quetzalshunt.core.document.ServiceKind;
 import org.quetzalshunt.core.document.ServiceLimits;
 
-/** Records as short texts, in place of the Thrift form: {@code put service based team change hash,hash}. */
+/** Replaces the Thrift codec in tests. Encodes records as text: {@code put service based team change hash,hash}. */
 final class TextRecords {
     private static final String REMOVED = "-";
 
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
@@ -169,7 +169,7 @@
         runTurn(one, PROGRAM, "second");
         long before = log.next();
         log.run(16_000, this::ticks);
-        assertThat(one.publisher.published()).isEqualTo(1);
+        assertThat(one.publisher.publishedCheckpoints()).isEqualTo(1);
         if (turnsAfterTheCheckpoint) {
             runTurn(one, PROGRAM, "third");
         }
