--- a/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
@@ -18,7 +18,10 @@
  * read. Then the state is replaced by the checkpoint's, and the records from its offset on are applied.
  */
 public final class Configuration implements LogFold {
-    /** Far above the usual size of the records between a gap and the next checkpoint; bounds memory use. */
+    /**
+     * Far above the size of the records between a gap and the next checkpoint. Only a flood of records that do not
+     * belong to the stream could exceed it; further records are then dropped.
+     */
     private static final int MAXIMUM_BUFFERED_BYTES = 64 * 1024 * 1024;
 
     private static final int MAXIMUM_INVALID_OFFSETS = 100;
--- a/core/src/main/java/org/quetzalshunt/core/configuration/Freshness.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/Freshness.java
@@ -10,10 +10,13 @@
  *
  * <p>The configuration is fresh if one of these conditions was met within the time limit:
  *
- * <ul> <li>This node read the log to its end. <li>A peer read the log to its end, and no peer has reported a newer
- * offset than this node has applied. <li>Every listed peer sent a report, and none has reported a newer offset. This
- * keeps the nodes in service during a complete outage of the log: a change is acknowledged only by a node that has read
- * it back from the log, and that node would report the newer offset. </ul>
+ * <ul>
+ *   <li>This node read the log to its end.
+ *   <li>A peer read the log to its end, and no peer has reported a newer offset than this node has applied.
+ *   <li>Every listed peer sent a report, and none has reported a newer offset. This keeps the nodes in service during
+ *       a complete outage of the log: a change is acknowledged only by a node that has read it back from the log, and
+ *       that node would report the newer offset.
+ * </ul>
  *
  * <p>A single node that is cut off meets none of them. All ages are measured with this node's clock: a peer's report
  * counts as made at the time when this node sent the message that the peer echoed, which is before the actual time.
--- a/core/src/main/java/org/quetzalshunt/core/configuration/KeyIndex.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/KeyIndex.java
@@ -56,10 +56,10 @@
         if (candidates == null) {
             return Optional.empty();
         }
-        byte[] expectedHash = keyHash.getBytes(StandardCharsets.US_ASCII);
+        byte[] presentedHash = keyHash.getBytes(StandardCharsets.US_ASCII);
         KeyOwner found = null;
         for (Entry candidate : candidates) {
-            boolean equal = MessageDigest.isEqual(candidate.hash(), expectedHash);
+            boolean equal = MessageDigest.isEqual(candidate.hash(), presentedHash);
             if (equal && found == null && filter.test(candidate.owner())) {
                 found = candidate.owner();
             }
--- a/core/src/main/java/org/quetzalshunt/core/document/CallRule.java
+++ b/core/src/main/java/org/quetzalshunt/core/document/CallRule.java
@@ -8,7 +8,7 @@
  */
 public record CallRule(String method, String pathPrefix) {
     /** Whether the rule applies to a call. */
-    public boolean covers(String callMethod, String callPath) {
+    public boolean matches(String callMethod, String callPath) {
         return (method.equals("*") || method.equals(callMethod)) && callPath.startsWith(pathPrefix);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/document/ServiceDocument.java
+++ b/core/src/main/java/org/quetzalshunt/core/document/ServiceDocument.java
@@ -34,6 +34,6 @@
 
     /** Whether a call must run at most once. */
     public boolean isNonIdempotent(String method, String path) {
-        return nonIdempotentCalls.stream().anyMatch(rule -> rule.covers(method, path));
+        return nonIdempotentCalls.stream().anyMatch(rule -> rule.matches(method, path));
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/log/Batch.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/Batch.java
@@ -7,7 +7,8 @@
  *
  * @param writer unique id of one run of the writing process
  * @param sequence number of the batch, increasing per writer
- * @param basedOn next offset that the writer would have applied when it made the batch; see {@link BatchDeduplicator}
+ * @param basedOn offset up to which the writer had read the log when it created the batch; see {@link
+ *     BatchDeduplicator}
  * @param records bytes of each record
  */
 record Batch(String writer, long sequence, long basedOn, List<byte[]> records) {}
--- a/core/src/main/java/org/quetzalshunt/core/log/BatchDeduplicator.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/BatchDeduplicator.java
@@ -9,9 +9,10 @@
  * copy arrives late. A writer has only one batch in flight, so its sequence numbers increase along the log, and a batch
  * whose number is not above the writer's last one is a duplicate.
  *
- * <p>To bound the table, writers without recent batches are removed. A batch carries the fold position at which it was
- * made and is void more than {@link #MAXIMUM_AGE_OFFSETS} offsets after it. Once a writer's last batch is that far
- * back, any remaining duplicate of its batches is void for its age, so its sequence number is no longer needed.
+ * <p>To bound the table, writers without recent batches are removed. A batch carries the offset up to which its writer
+ * had read the log, and it is void if it is appended more than {@link #MAXIMUM_AGE_OFFSETS} offsets after that. Once a
+ * writer's last batch is that far back, any remaining duplicate of its batches is void for its age, so its sequence
+ * number is no longer needed.
  */
 final class BatchDeduplicator {
     /** Some minutes at the log's maximum append rate, enough for about a thousand retries of an append. */
--- a/core/src/main/java/org/quetzalshunt/core/log/StreamSession.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/StreamSession.java
@@ -356,7 +356,7 @@
     }
 
     private void appendIfDue(long nowMillis) {
-        // Before the first read the fold position is unknown, and a batch based on it could be void.
+        // Before the first read the end of the stream is unknown, and a batch based on offset 0 could be void.
         if (appendUnanswered || !hasRead || !appendBackoff.isReady(nowMillis)) {
             return;
         }
--- a/core/src/main/java/org/quetzalshunt/core/program/Admission.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/Admission.java
@@ -11,7 +11,7 @@
     /** The request was completed before; this is its stored answer. */
     record Replay(String requestId, StoredAnswer answer) implements Admission {}
 
-    /** The same request is queued or running under another request id, whose result also answers this one. */
+    /** The same request is queued or running under another request id; its result also answers this request. */
     record Attach(String requestId) implements Admission {}
 
     /** The request is not run. */
--- a/core/src/main/java/org/quetzalshunt/core/program/IdempotencyCheck.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/IdempotencyCheck.java
@@ -5,7 +5,7 @@
 import org.quetzalshunt.core.result.Refusal;
 import org.quetzalshunt.core.result.ResultCode;
 
-/** Decides how a request is answered whose idempotency key was used before. */
+/** Decides how to answer a request whose idempotency key was used before. */
 final class IdempotencyCheck {
     private IdempotencyCheck() {}
 
--- a/core/src/main/java/org/quetzalshunt/core/program/RecordSubmitter.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/RecordSubmitter.java
@@ -4,7 +4,7 @@
 @FunctionalInterface
 public interface RecordSubmitter {
     /**
-     * Submits a record. The callback runs exactly once: after the fold has applied the record, or when the submission
+     * Submits a record. The callback runs exactly once: after the record has been applied, or when the submission
      * has failed.
      *
      * @param whenFolded called with true when the record is in the stream, valid or void, and with false when it was
--- a/core/src/main/java/org/quetzalshunt/core/program/Shard.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/Shard.java
@@ -55,8 +55,8 @@
         this.codec = codec;
         this.submitter = submitter;
         this.listener = listener;
-        this.rebuild = new ShardRebuild(settings.resultMillis());
-        this.state = new ShardState(settings.resultMillis());
+        this.rebuild = new ShardRebuild(settings.resultRetentionMillis());
+        this.state = new ShardState(settings.resultRetentionMillis());
         this.turns = new TurnScheduler(() -> state, this::submit, this::isOwned, listener);
         this.calls = new CallCoordinator(() -> state, this::submit, listener);
     }
@@ -114,7 +114,7 @@
             return;
         }
         if (record instanceof ShardRecord.Claim claim && claim.basedOnEpoch() == emptyStreamBase(offset)) {
-            replaceState(new ShardState(settings.resultMillis()));
+            replaceState(new ShardState(settings.resultRetentionMillis()));
             applyRecord(offset, new ShardRecord.Claim(0, claim.vm(), claim.incarnation(), false));
             return;
         }
@@ -143,7 +143,7 @@
 
     @Override
     public void gap(long firstKept) {
-        state = new ShardState(settings.resultMillis());
+        state = new ShardState(settings.resultRetentionMillis());
         rebuild.begin(firstKept);
         nextOffset = firstKept;
         updateOwnership();
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointCodec.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointCodec.java
@@ -36,12 +36,12 @@
     }
 
     /** Decodes a state; empty if the bytes are truncated. */
-    static Optional<ShardState> decode(byte[] octets, long resultMillis) {
-        return StateReader.readUncompressed(octets, reader -> Optional.of(read(reader, resultMillis)));
+    static Optional<ShardState> decode(byte[] octets, long resultRetentionMillis) {
+        return StateReader.readUncompressed(octets, reader -> Optional.of(read(reader, resultRetentionMillis)));
     }
 
-    private static ShardState read(StateReader reader, long resultMillis) {
-        ShardState state = new ShardState(resultMillis);
+    private static ShardState read(StateReader reader, long resultRetentionMillis) {
+        ShardState state = new ShardState(resultRetentionMillis);
         long epoch = reader.getLong();
         long streamMillis = reader.getLong();
         Optional<VmId> owner =
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointPublisher.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointPublisher.java
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Submits the next part of a due checkpoint. Call it next to the session's tick, not from within a fold callback.
+     * Submits the next part of a due checkpoint. Call it next to the session's tick, not while applying records.
      */
     public void tick(long nowMillis) {
         if (!shard.isOwned()) {
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardRebuild.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardRebuild.java
@@ -16,7 +16,7 @@
      */
     private static final long MAXIMUM_BUFFERED_BYTES = 256L * 1024 * 1024;
 
-    private final long resultMillis;
+    private final long resultRetentionMillis;
     private final CheckpointParts parts = CheckpointParts.create();
     private final List<BufferedRecord> buffered = new ArrayList<>();
     private boolean active;
@@ -24,8 +24,8 @@
     private long bufferedBytes;
     private long newestCoversBelow = -1;
 
-    ShardRebuild(long resultMillis) {
-        this.resultMillis = resultMillis;
+    ShardRebuild(long resultRetentionMillis) {
+        this.resultRetentionMillis = resultRetentionMillis;
     }
 
     void begin(long firstKept) {
@@ -76,7 +76,7 @@
         if (!active || checkpoint.coversBelow() < gapEnd) {
             return Optional.empty();
         }
-        Optional<ShardState> state = ShardCheckpointCodec.decode(complete.get(), resultMillis);
+        Optional<ShardState> state = ShardCheckpointCodec.decode(complete.get(), resultRetentionMillis);
         state.ifPresent(rebuilt -> buffered.stream()
                 .filter(record -> record.offset() >= checkpoint.coversBelow())
                 .forEach(record -> rebuilt.apply(record.offset(), record.record())));
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardRecordCodec.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardRecordCodec.java
@@ -7,6 +7,6 @@
     /** Encodes a record. */
     byte[] encode(ShardRecord record);
 
-    /** Decodes a record; empty when the bytes are not a valid record. A fold skips such bytes. */
+    /** Decodes a record; empty if the bytes are malformed. Readers skip such bytes. */
     Optional<ShardRecord> decode(byte[] bytes);
 }
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardState.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardState.java
@@ -13,7 +13,7 @@
  * so every reader of the stream reaches the same state (state machine replication with certification in log order).
  */
 final class ShardState {
-    private final long resultMillis;
+    private final long resultRetentionMillis;
     private final Object2ObjectHashMap<String, Program> programs = new Object2ObjectHashMap<>();
     private final ResultTable results = new ResultTable();
     private long epoch;
@@ -22,8 +22,8 @@
     private long overspends;
     private long streamMillis;
 
-    ShardState(long resultMillis) {
-        this.resultMillis = resultMillis;
+    ShardState(long resultRetentionMillis) {
+        this.resultRetentionMillis = resultRetentionMillis;
     }
 
     long epoch() {
@@ -181,7 +181,7 @@
     }
 
     private boolean isExpired(Program program) {
-        return program.isEnded() && program.endedMillis < streamMillis - resultMillis;
+        return program.isEnded() && program.endedMillis < streamMillis - resultRetentionMillis;
     }
 
     private boolean applyTurnEnded(ShardRecord.TurnEnded ended) {
@@ -245,7 +245,7 @@
 
     private boolean applyCallIntent(ShardRecord.CallIntent intent) {
         boolean exists = results.find(intent.clientAccount(), intent.idempotencyKey())
-                .filter(result -> result.recordedMillis() >= streamMillis - resultMillis)
+                .filter(result -> result.recordedMillis() >= streamMillis - resultRetentionMillis)
                 .isPresent();
         if (exists) {
             return false;
@@ -317,6 +317,6 @@
     /** Removes expired programs and results, which no longer affect the validity of records. */
     void sweep() {
         programs.values().removeIf(this::isExpired);
-        results.removeBefore(streamMillis - resultMillis);
+        results.removeBefore(streamMillis - resultRetentionMillis);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnRecords.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnRecords.java
@@ -10,7 +10,7 @@
             long nowMillis, long epoch, Program program, TurnStart start, TurnResult result) {
         TurnRequest request = start.request();
         List<byte[]> prompt = start.prompt();
-        List<byte[]> newMessages = prompt.subList(prompt.size() - start.newMessages(), prompt.size());
+        List<byte[]> newMessages = prompt.subList(prompt.size() - start.newMessageCount(), prompt.size());
         return new ShardRecord.TurnEnded(
                 epoch,
                 program.id,
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnScheduler.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnScheduler.java
@@ -144,19 +144,20 @@
         }
         TurnStart start = planned.toOptional().orElseThrow();
         queue.setRunning(start);
-        reserve(program, budgetRoot, start.reservation());
-        if (request.implicitProgram() || start.reservation() <= program.recordedReservationTokens) {
+        reserve(program, budgetRoot, start.reservationTokens());
+        if (request.implicitProgram() || start.reservationTokens() <= program.recordedReservationTokens) {
             listener.onTurnStart(start);
             return;
         }
         ShardRecord.ReservationRaised raised =
-                new ShardRecord.ReservationRaised(state.get().epoch(), program.id, start.reservation());
+                new ShardRecord.ReservationRaised(state.get().epoch(), program.id, start.reservationTokens());
         submitter.accept(raised, folded -> startAfterReservation(nowMillis, program, start));
     }
 
     private void startAfterReservation(long nowMillis, Program program, TurnStart start) {
-        boolean stillRunning =
-                isOwner.getAsBoolean() && program.recordedReservationTokens >= start.reservation() && isRunning(start);
+        boolean stillRunning = isOwner.getAsBoolean()
+                && program.recordedReservationTokens >= start.reservationTokens()
+                && isRunning(start);
         if (stillRunning) {
             listener.onTurnStart(start);
             return;
@@ -233,7 +234,7 @@
             return;
         }
         ShardRecord.BudgetCharged charged = new ShardRecord.BudgetCharged(
-                state.get().epoch(), start.request().program(), start.reservation());
+                state.get().epoch(), start.request().program(), start.reservationTokens());
         submitter.accept(
                 charged, folded -> whenCharged.accept(folded && isOwner.getAsBoolean() && isWithinBudget(start)));
     }
@@ -257,7 +258,8 @@
         if (!start.request().implicitProgram()) {
             state.get()
                     .program(id)
-                    .ifPresent(program -> reserve(program, state.get().budgetRoot(program), -start.reservation()));
+                    .ifPresent(
+                            program -> reserve(program, state.get().budgetRoot(program), -start.reservationTokens()));
         }
         startNext(nowMillis, id);
     }
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnStart.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnStart.java
@@ -8,9 +8,9 @@
  * @param request the caller's request
  * @param turn number of the turn, from 1
  * @param prompt the whole prompt: the history followed by the new messages
- * @param newMessages number of new messages at the end of the prompt
+ * @param newMessageCount number of new messages at the end of the prompt
  * @param maximumOutputTokens limit on generated tokens, within the budget
- * @param reservation tokens reserved until the turn ends
+ * @param reservationTokens tokens reserved until the turn ends
  * @param contextTokens tokens of the history, as last reported by an engine
  * @param newBytes size of the new messages, an upper bound on their tokens
  */
@@ -18,8 +18,8 @@
         TurnRequest request,
         int turn,
         List<byte[]> prompt,
-        int newMessages,
+        int newMessageCount,
         int maximumOutputTokens,
-        long reservation,
+        long reservationTokens,
         long contextTokens,
         long newBytes) {}
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardRandomTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardRandomTest.java
@@ -151,7 +151,7 @@
             if (random.nextInt(50) == 0 && !node.turnsStarted.isEmpty()) {
                 TurnStart last = node.turnsStarted.get(node.turnsStarted.size() - 1);
                 if (!node.durable.containsKey(last.request().requestId())) {
-                    node.end(last, random.nextInt((int) last.reservation()));
+                    node.end(last, random.nextInt((int) last.reservationTokens()));
                 }
             }
         }
