--- a/core/src/main/java/org/quetzalshunt/core/program/TurnQueue.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnQueue.java
@@ -6,7 +6,7 @@
 
 /** The running turn of one program and its waiting turns in order of arrival; kept in memory by the shard's owner. */
 final class TurnQueue {
-    /** Waiting turns allowed per program. A caller that sends each turn after the last answer needs only one. */
+    /** Waiting turns allowed per program. A caller that waits for each answer needs only one, other callers a few. */
     static final int MAXIMUM_WAITING_TURNS = 32;
 
     private final List<TurnRequest> waiting = new ArrayList<>();
