--- a/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationNode.java
+++ b/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationNode.java
@@ -9,23 +9,24 @@
 import org.quetzalshunt.core.log.StreamSession;
 import org.quetzalshunt.core.log.StreamSettings;
 
-/** A process that follows the configuration stream of a fake log. */
+/** A process that reads and changes the configuration by the configuration stream of a fake log. */
 final class ConfigurationNode {
     static final int PART_BYTES = 300;
 
     final Configuration configuration = Configuration.create(TextRecords::read);
-    final Map<String, Optional<ChangeOutcome>> heard = new HashMap<>();
-    final FakeLog.Line line;
+    final Map<String, Optional<ChangeOutcome>> outcomes = new HashMap<>();
+    final FakeLog.Transport transport;
     final StreamSession session;
     final CheckpointPublisher publisher;
     private final FakeLog log;
 
     private ConfigurationNode(FakeLog log, String writer, long retentionMillis) {
         this.log = log;
-        line = log.line();
+        transport = log.transport();
         long seed = writer.hashCode();
-        session = StreamSession.create("configuration", StreamSettings.tailing(5, seed), writer, line, configuration);
-        line.attach(session);
+        session = StreamSession.create(
+                "configuration", StreamSettings.tailing(5, seed), writer, transport, configuration);
+        transport.attach(session);
         publisher = CheckpointPublisher.create(
                 configuration,
                 session,
@@ -46,7 +47,7 @@
         session.submit(
                 log.now(),
                 TextRecords.write(change),
-                submission -> heard.put(
+                submission -> outcomes.put(
                         change.changeId(),
                         submission.isFolded() ? configuration.outcome(change.changeId()) : Optional.empty()));
     }
