--- a/server/src/main/java/org/quetzalshunt/server/entry/AdminApi.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/AdminApi.java
@@ -20,8 +20,8 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * The operators' interface to service documents. A change is appended to the configuration stream and answered once its
- * record is folded, so its answer is the log's and not a guess.
+ * HTTP API by which operators read and change service documents. A change is appended to the configuration stream and
+ * answered only after its record has been read back and applied, so that the response states the actual result.
  */
 final class AdminApi {
     static final String PREFIX = "/admin/v1/";
@@ -29,20 +29,20 @@
     private static final String YAML = "application/yaml";
 
     private final EntryClock clock;
-    private final ConfigurationHost host;
+    private final ConfigurationStream configurationStream;
     private final RequestIds requestIds;
     private final Map<String, String> teamsByKeyHash;
     private final AdminStatus status;
 
     AdminApi(
             EntryClock clock,
-            ConfigurationHost host,
+            ConfigurationStream configurationStream,
             RequestIds requestIds,
             Map<String, String> teamsByKeyHash,
             AdminStatus status) {
         this.status = status;
         this.clock = clock;
-        this.host = host;
+        this.configurationStream = configurationStream;
         this.requestIds = requestIds;
         this.teamsByKeyHash = teamsByKeyHash;
     }
@@ -50,9 +50,9 @@
     /** Handles one request of an operator. */
     void handle(HttpExchange exchange) {
         String requestId = requestIds.next();
-        Optional<String> team = team(exchange);
+        Optional<String> team = teamOf(exchange);
         if (team.isEmpty()) {
-            refuse(exchange, requestId, Refusal.notRun(ResultCode.UNKNOWN_KEY, "an operator's key is needed"));
+            refuse(exchange, requestId, Refusal.notRun(ResultCode.UNKNOWN_KEY, "this path requires an operator key"));
             return;
         }
         if (status.handle(exchange, requestId, exchange.path().substring(PREFIX.length()))) {
@@ -70,14 +70,17 @@
         switch (exchange.method()) {
             case "GET" -> get(exchange, requestId, service);
             case "PUT" -> put(exchange, requestId, service, team.get());
-            case "DELETE" -> change(exchange, requestId, service, team.get(), Optional.empty(), "");
+            case "DELETE" -> submitChange(exchange, requestId, service, team.get(), Optional.empty(), "");
             default -> refuse(exchange, requestId, Refusal.notRun(ResultCode.METHOD_NOT_ALLOWED, "GET, PUT, DELETE"));
         }
     }
 
-    /** Team of an operator's key; every configured hash is compared, so that the time taken tells nothing. */
-    Optional<String> team(HttpExchange exchange) {
-        Optional<String> hash = Keys.hash(exchange);
+    /**
+     * Returns the team of the operator key. Compares every configured hash, so that the response time does not depend
+     * on the key.
+     */
+    Optional<String> teamOf(HttpExchange exchange) {
+        Optional<String> hash = ApiKeys.hash(exchange);
         if (hash.isEmpty()) {
             return Optional.empty();
         }
@@ -95,22 +98,23 @@
     private void list(HttpExchange exchange, String requestId) {
         ObjectNode root = Json.object();
         ArrayNode services = root.putArray("services");
-        for (VersionedDocument document : host.configuration().documents()) {
+        for (VersionedDocument document : configurationStream.configuration().documents()) {
             services.addObject()
                     .put("name", document.service())
                     .put("team", document.team())
                     .put("version", document.version());
         }
-        exchange.respond(200, Answers.headers(requestId, "application/json"), Json.bytes(root));
+        exchange.respond(200, CallerResponses.headers(requestId, "application/json"), Json.bytes(root));
     }
 
     private void get(HttpExchange exchange, String requestId, String service) {
-        Optional<VersionedDocument> document = host.configuration().document(service);
+        Optional<VersionedDocument> document =
+                configurationStream.configuration().document(service);
         if (document.isEmpty()) {
             refuse(exchange, requestId, Refusal.notRun(ResultCode.UNKNOWN_SERVICE, service));
             return;
         }
-        Map<String, String> headers = new HashMap<>(Answers.headers(requestId, YAML));
+        Map<String, String> headers = new HashMap<>(CallerResponses.headers(requestId, YAML));
         headers.put("etag", etag(document.get().version()));
         exchange.respond(200, headers, document.get().sourceText().getBytes(StandardCharsets.UTF_8));
     }
@@ -119,7 +123,7 @@
         String text = new String(exchange.body(), StandardCharsets.UTF_8);
         DocumentReading reading = DocumentReader.read(text);
         if (reading instanceof DocumentReading.Invalid invalid) {
-            invalid(exchange, requestId, invalid);
+            sendDocumentErrors(exchange, requestId, invalid);
             return;
         }
         ServiceDocument document = ((DocumentReading.Valid) reading).document();
@@ -134,14 +138,14 @@
         if (exchange.query("dryRun").isPresent()) {
             exchange.respond(
                     200,
-                    Answers.headers(requestId, "application/json"),
+                    CallerResponses.headers(requestId, "application/json"),
                     Json.bytes(Json.object().put("valid", true)));
             return;
         }
-        change(exchange, requestId, service, team, Optional.of(document), text);
+        submitChange(exchange, requestId, service, team, Optional.of(document), text);
     }
 
-    private static void invalid(HttpExchange exchange, String requestId, DocumentReading.Invalid invalid) {
+    private static void sendDocumentErrors(HttpExchange exchange, String requestId, DocumentReading.Invalid invalid) {
         ObjectNode root = Json.object();
         ObjectNode error = root.putObject("error");
         error.put("code", ResultCode.INVALID_DOCUMENT.number());
@@ -155,18 +159,19 @@
                     .put("path", problem.path())
                     .put("expected", problem.expected());
         }
-        Map<String, String> headers = Answers.headers(requestId, "application/json");
+        Map<String, String> headers = CallerResponses.headers(requestId, "application/json");
         exchange.respond(ResultCode.INVALID_DOCUMENT.status(), headers, Json.bytes(root));
     }
 
-    private void change(
+    private void submitChange(
             HttpExchange exchange,
             String requestId,
             String service,
             String team,
             Optional<ServiceDocument> document,
             String text) {
-        Optional<VersionedDocument> current = host.configuration().document(service);
+        Optional<VersionedDocument> current =
+                configurationStream.configuration().document(service);
         if (current.isPresent() && !current.get().team().equals(team)) {
             refuse(
                     exchange,
@@ -175,42 +180,48 @@
                             ResultCode.NOT_THE_TEAMS_DOCUMENT, current.get().team()));
             return;
         }
-        Optional<String> match = exchange.header("if-match");
-        if (current.isPresent() && match.isEmpty()) {
-            refuse(exchange, requestId, Refusal.notRun(ResultCode.PRECONDITION_REQUIRED, "send If-Match"));
+        Optional<String> ifMatch = exchange.header("if-match");
+        if (current.isPresent() && ifMatch.isEmpty()) {
+            refuse(
+                    exchange,
+                    requestId,
+                    Refusal.notRun(ResultCode.PRECONDITION_REQUIRED, "the document exists; send its ETag in If-Match"));
             return;
         }
-        long version = host.configuration().currentVersion(service);
-        if (match.isPresent() && !match.get().equals(etag(version))) {
-            refuse(exchange, requestId, conflict(version));
+        long version = configurationStream.configuration().currentVersion(service);
+        if (ifMatch.isPresent() && !ifMatch.get().equals(etag(version))) {
+            refuse(exchange, requestId, versionConflict(version));
             return;
         }
         ConfigurationChange change = new ConfigurationChange.DocumentChange(
                 service, version, team, team, clock.now(), requestId, document, text);
-        host.put(change, (submission, configuration) -> {
+        configurationStream.submit(change, (submission, configuration) -> {
             Optional<ChangeOutcome> outcome = configuration.outcome(requestId);
             if (!submission.isFolded() || outcome.isEmpty()) {
                 refuse(
                         exchange,
                         requestId,
-                        Refusal.after(ResultCode.APPEND_UNKNOWN, Execution.UNKNOWN, "read the document back"));
+                        Refusal.after(
+                                ResultCode.APPEND_UNKNOWN,
+                                Execution.UNKNOWN,
+                                "read the document to see whether the change was applied"));
                 return;
             }
             if (!outcome.get().accepted()) {
-                refuse(exchange, requestId, conflict(configuration.currentVersion(service)));
+                refuse(exchange, requestId, versionConflict(configuration.currentVersion(service)));
                 return;
             }
-            accepted(exchange, requestId, outcome.get().version());
+            sendVersion(exchange, requestId, outcome.get().version());
         });
     }
 
-    private static void accepted(HttpExchange exchange, String requestId, long version) {
-        Map<String, String> headers = new HashMap<>(Answers.headers(requestId, "application/json"));
+    private static void sendVersion(HttpExchange exchange, String requestId, long version) {
+        Map<String, String> headers = new HashMap<>(CallerResponses.headers(requestId, "application/json"));
         headers.put("etag", etag(version));
         exchange.respond(200, headers, Json.bytes(Json.object().put("version", version)));
     }
 
-    private static Refusal conflict(long version) {
+    private static Refusal versionConflict(long version) {
         return Refusal.notRun(ResultCode.VERSION_CONFLICT, "the current version is " + etag(version));
     }
 
@@ -219,6 +230,6 @@
     }
 
     private static void refuse(HttpExchange exchange, String requestId, Refusal refusal) {
-        Answers.refuse(exchange, refusal, requestId);
+        CallerResponses.sendError(exchange, refusal, requestId);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/AdminStatus.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/AdminStatus.java
@@ -15,7 +15,7 @@
 import org.quetzalshunt.server.http.HttpExchange;
 import org.quetzalshunt.wire.json.Json;
 
-/** What operators can see of the system: what it made of their documents, who is there, why a program waits. */
+/** Read-only status views for operators: services, VMs, programs and the state dump. */
 final class AdminStatus {
     private static final String STATUS = "/status";
     private static final String HISTORY = "/history";
@@ -23,46 +23,46 @@
 
     private final Configuration configuration;
     private final Membership membership;
-    private final ShardHost shards;
+    private final ShardManager shards;
     private final EntryDump dump;
 
-    AdminStatus(Configuration configuration, Membership membership, ShardHost shards, EntryDump dump) {
+    AdminStatus(Configuration configuration, Membership membership, ShardManager shards, EntryDump dump) {
         this.configuration = configuration;
         this.membership = membership;
         this.shards = shards;
         this.dump = dump;
     }
 
-    /** Answers a path below the administration prefix, if it is a view; false leaves it to others. */
+    /** Handles a GET of a path below the admin prefix; returns false if the path is not a status view. */
     boolean handle(HttpExchange exchange, String requestId, String path) {
         if (!exchange.method().equals("GET")) {
             return false;
         }
         if (path.equals("vms")) {
-            answer(exchange, requestId, Json.object().set("vms", dump.vms()));
+            sendJson(exchange, requestId, Json.object().set("vms", dump.vms()));
         } else if (path.equals("dump")) {
-            answer(exchange, requestId, dump.all());
+            sendJson(exchange, requestId, dump.all());
         } else if (path.startsWith(PROGRAMS)) {
             program(exchange, requestId, path.substring(PROGRAMS.length()));
         } else if (path.startsWith("services/") && path.endsWith(STATUS)) {
-            status(exchange, requestId, middle(path, STATUS));
+            status(exchange, requestId, serviceName(path, STATUS));
         } else if (path.startsWith("services/") && path.endsWith(HISTORY)) {
-            history(exchange, requestId, middle(path, HISTORY));
+            history(exchange, requestId, serviceName(path, HISTORY));
         } else {
             return false;
         }
         return true;
     }
 
-    private static String middle(String path, String suffix) {
+    private static String serviceName(String path, String suffix) {
         return path.substring("services/".length(), path.length() - suffix.length());
     }
 
     private void program(HttpExchange exchange, String requestId, String id) {
         Shard shard = shards.shard(ShardNumbers.ofProgram(id, shards.count()));
         if (!shard.isOwned()) {
-            String owner = shards.ownerOf(shard.number()).orElse("nobody just now");
-            refuse(exchange, requestId, Refusal.notRun(ResultCode.NOT_OWNER, "ask " + owner));
+            String owner = shards.ownerOf(shard.number()).orElse("no entry at present");
+            refuse(exchange, requestId, Refusal.notRun(ResultCode.NOT_OWNER, "the shard is owned by " + owner));
             return;
         }
         Optional<ProgramView> view =
@@ -71,7 +71,7 @@
             refuse(exchange, requestId, Refusal.notRun(ResultCode.UNKNOWN_PROGRAM, id));
             return;
         }
-        answer(exchange, requestId, EntryDump.program(view.get()).put("shard", shard.number()));
+        sendJson(exchange, requestId, EntryDump.program(view.get()).put("shard", shard.number()));
     }
 
     private void status(HttpExchange exchange, String requestId, String service) {
@@ -95,7 +95,7 @@
         node.set("endpoints", dump.endpoints(service));
         node.set("accounts", dump.accounts(service));
         node.set("limits", dump.limitNodes(service, false));
-        answer(exchange, requestId, node);
+        sendJson(exchange, requestId, node);
     }
 
     private void history(HttpExchange exchange, String requestId, String service) {
@@ -108,14 +108,15 @@
                     .put("putMillis", version.putMillis())
                     .put("removed", version.removed());
         }
-        answer(exchange, requestId, node);
+        sendJson(exchange, requestId, node);
     }
 
-    private static void answer(HttpExchange exchange, String requestId, com.fasterxml.jackson.databind.JsonNode node) {
-        exchange.respond(200, Answers.headers(requestId, "application/json"), Json.bytes(node));
+    private static void sendJson(
+            HttpExchange exchange, String requestId, com.fasterxml.jackson.databind.JsonNode node) {
+        exchange.respond(200, CallerResponses.headers(requestId, "application/json"), Json.bytes(node));
     }
 
     private static void refuse(HttpExchange exchange, String requestId, Refusal refusal) {
-        Answers.refuse(exchange, refusal, requestId);
+        CallerResponses.sendError(exchange, refusal, requestId);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/Keys.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ApiKeys.java
@@ -6,11 +6,13 @@
 import org.quetzalshunt.core.program.Digests;
 import org.quetzalshunt.server.http.HttpExchange;
 
-/** A caller's key: read from its header, hashed at once, and never passed on. */
-final class Keys {
-    private Keys() {}
+/**
+ * Reads the API key of a request. Only its hash is returned, so that the key itself is neither stored nor forwarded.
+ */
+final class ApiKeys {
+    private ApiKeys() {}
 
-    /** SHA-256 of the bearer token in lower-case hex; empty when no key came. */
+    /** SHA-256 of the bearer token in lower-case hex; empty if the request has none. */
     static Optional<String> hash(HttpExchange exchange) {
         return exchange.bearerToken().filter(key -> !key.isEmpty()).map(key -> HexFormat.of()
                 .formatHex(Digests.sha256(key.getBytes(StandardCharsets.UTF_8))));
--- a/server/src/main/java/org/quetzalshunt/server/entry/AttemptListener.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/AttemptListener.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** Hears one attempt: perhaps a head, chunks in order and without gaps, then exactly one outcome. */
+/** Receives the events of one attempt: at most one head, chunks in order without gaps, then exactly one outcome. */
 interface AttemptListener {
     void onHead(int status, Map<String, String> headers);
 
--- a/server/src/main/java/org/quetzalshunt/server/entry/AttemptOutcome.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/AttemptOutcome.java
@@ -6,19 +6,19 @@
 import org.quetzalshunt.core.result.ResultCode;
 
 /**
- * How an attempt ended.
+ * Result of one attempt at an endpoint.
  *
- * @param code {@link ResultCode#OK} only for a whole answer
- * @param execution whether it ran
- * @param usage tokens as the engine counted them
- * @param finishReason why the engine stopped
+ * @param code {@link ResultCode#OK} only if the response is complete
+ * @param execution whether the endpoint ran the request
+ * @param usage token counts reported by the engine
+ * @param finishReason finish reason reported by the engine; empty if there is none
  */
 record AttemptOutcome(ResultCode code, Execution execution, Optional<TurnUsage> usage, String finishReason) {
     static AttemptOutcome failed(ResultCode code, Execution execution) {
         return new AttemptOutcome(code, execution, Optional.empty(), "");
     }
 
-    boolean isWhole() {
+    boolean isComplete() {
         return code == ResultCode.OK;
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/AttemptBoard.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/AttemptTracker.java
@@ -21,14 +21,15 @@
 import org.tinylog.Logger;
 
 /**
- * Attempts under way at sidecars. Guards against cut and crossed answers: frames carry the attempt's id and a sequence
- * number, a gap or a wrong count at the end makes the attempt a failure, and frames of a former attempt find no one.
+ * Tracks the attempts in progress at sidecars and passes their frames to the listeners. Guards against truncated and
+ * mixed-up responses: each frame carries the attempt id and a sequence number, a gap or a wrong chunk count fails the
+ * attempt, and frames of an attempt that has already ended are ignored.
  */
-final class AttemptBoard {
-    /** A broken link comes back within its first few tries, or the sidecar is gone. */
-    private static final long RESUME_MILLIS = 3_000;
+final class AttemptTracker {
+    /** Time to wait for a broken link to reconnect; a live sidecar reconnects within the first few tries. */
+    private static final long RESUME_TIMEOUT_MILLIS = 3_000;
 
-    /** A sidecar enforces the deadline itself; this is for the case that it died or was paused. */
+    /** The sidecar enforces the deadline itself; after this margin it is assumed to have crashed or to be paused. */
     private static final long DEADLINE_GRACE_MILLIS = 1_000;
 
     private final EntryClock clock;
@@ -37,26 +38,26 @@
     private final long idBase;
     private int counter;
 
-    AttemptBoard(EntryClock clock, long seed) {
+    AttemptTracker(EntryClock clock, long seed) {
         this.clock = clock;
         this.idBase = new SplittableRandom(seed).nextLong() & 0x7fff_ffff_0000_0000L;
     }
 
-    /** Starts an attempt. Empty when there is no link to the endpoint's sidecar. */
-    Optional<Long> start(String endpoint, AttemptStart order, AttemptListener listener) {
+    /** Starts an attempt and returns its id; empty if there is no link to the endpoint's sidecar. */
+    Optional<Long> start(String endpoint, AttemptStart message, AttemptListener listener) {
         PeerLink link = links.get(endpoint);
         if (link == null) {
             return Optional.empty();
         }
         long id = idBase | (counter++ & 0xffff_ffffL);
-        order.setAttempt(id);
-        long deadline = clock.now() + order.getRemainingMillis() + DEADLINE_GRACE_MILLIS;
+        message.setAttempt(id);
+        long deadline = clock.now() + message.getRemainingMillis() + DEADLINE_GRACE_MILLIS;
         attempts.put(id, new Attempt(id, endpoint, listener, deadline));
-        link.send(Message.attemptStart(order));
+        link.send(Message.attemptStart(message));
         return Optional.of(id);
     }
 
-    /** Gives an attempt up; its listener hears no more. */
+    /** Cancels an attempt. Its listener is not called again. */
     void cancel(long id) {
         Attempt attempt = attempts.remove(id);
         if (attempt == null) {
@@ -84,8 +85,8 @@
         String endpoint = link.remote().id().name();
         links.put(endpoint, link);
         for (Attempt attempt : List.copyOf(attempts.values())) {
-            if (attempt.endpoint.equals(endpoint) && attempt.lostMillis > 0) {
-                attempt.lostMillis = 0;
+            if (attempt.endpoint.equals(endpoint) && attempt.linkLostMillis > 0) {
+                attempt.linkLostMillis = 0;
                 link.send(Message.attemptResume(new AttemptResume(attempt.id, attempt.nextSequence)));
             }
         }
@@ -98,7 +99,7 @@
         }
         attempts.values().stream()
                 .filter(attempt -> attempt.endpoint.equals(endpoint))
-                .forEach(attempt -> attempt.lostMillis = clock.now());
+                .forEach(attempt -> attempt.linkLostMillis = clock.now());
     }
 
     void onHead(AttemptHead head) {
@@ -115,7 +116,11 @@
             return;
         }
         if (chunk.getSequence() > attempt.nextSequence) {
-            Logger.warn("attempt {}: chunk {} in place of {}", attempt.id, chunk.getSequence(), attempt.nextSequence);
+            Logger.warn(
+                    "attempt {}: received chunk {}, expected chunk {}",
+                    attempt.id,
+                    chunk.getSequence(),
+                    attempt.nextSequence);
             fail(attempt, ResultCode.ANSWER_CUT, Execution.RAN);
             return;
         }
@@ -141,21 +146,24 @@
         attempt.listener.onOutcome(new AttemptOutcome(code, Execution.fromNumber(end.getExecution()), usage, reason));
     }
 
-    /** Ends attempts whose sidecar does not come back, or which outlived their deadline. */
+    /** Fails attempts whose sidecar has not reconnected in time or whose deadline has passed. */
     void tick(long nowMillis) {
         if (attempts.isEmpty()) {
             return;
         }
-        List<Attempt> ended = new ArrayList<>();
+        List<Attempt> expired = new ArrayList<>();
         for (Attempt attempt : attempts.values()) {
-            boolean lost = attempt.lostMillis > 0 && nowMillis - attempt.lostMillis > RESUME_MILLIS;
-            if (lost || nowMillis > attempt.deadlineMillis) {
-                ended.add(attempt);
+            boolean linkLost = attempt.linkLostMillis > 0 && nowMillis - attempt.linkLostMillis > RESUME_TIMEOUT_MILLIS;
+            if (linkLost || nowMillis > attempt.deadlineMillis) {
+                expired.add(attempt);
             }
         }
-        for (Attempt attempt : ended) {
-            boolean lost = attempt.lostMillis > 0;
-            fail(attempt, lost ? ResultCode.ENDPOINT_FAILED : ResultCode.DEADLINE_PASSED_RUNNING, Execution.UNKNOWN);
+        for (Attempt attempt : expired) {
+            boolean linkLost = attempt.linkLostMillis > 0;
+            fail(
+                    attempt,
+                    linkLost ? ResultCode.ENDPOINT_FAILED : ResultCode.DEADLINE_PASSED_RUNNING,
+                    Execution.UNKNOWN);
         }
     }
 
@@ -171,7 +179,7 @@
         private final long deadlineMillis;
         private int nextSequence;
         private boolean headSeen;
-        private long lostMillis;
+        private long linkLostMillis;
 
         Attempt(long id, String endpoint, AttemptListener listener, long deadlineMillis) {
             this.id = id;
--- a/server/src/main/java/org/quetzalshunt/server/entry/CacheKeeper.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/CacheLeaseRenewer.java
@@ -13,47 +13,47 @@
 import org.quetzalshunt.wire.generated.Message;
 
 /**
- * Renews the leases under which sidecars hold engine memory for the programs owned here, and ends them with the
- * program. Guards against engine memory held for programs that are gone: an owner that dies renews no more, and the
- * lease lapses at the sidecar.
+ * Renews the leases on the cached prefixes of the programs owned by this entry, and releases a lease when its program
+ * ends or moves to another endpoint. The leases prevent engine memory from being kept for programs that no longer
+ * exist: if the owner crashes, renewals stop and the lease expires at the sidecar.
  */
-final class CacheKeeper {
-    private static final long RENEW_MILLIS = AttemptOrders.CACHE_LEASE_MILLIS / 3;
+final class CacheLeaseRenewer {
+    private static final long RENEWAL_INTERVAL_MILLIS = AttemptStartFactory.CACHE_LEASE_MILLIS / 3;
 
     private final EntryClock clock;
     private final Scheduler scheduler;
-    private final AttemptBoard attempts;
-    private long renewedMillis;
+    private final AttemptTracker attempts;
+    private long lastRenewalMillis;
 
-    CacheKeeper(EntryClock clock, Scheduler scheduler, AttemptBoard attempts) {
+    CacheLeaseRenewer(EntryClock clock, Scheduler scheduler, AttemptTracker attempts) {
         this.clock = clock;
         this.scheduler = scheduler;
         this.attempts = attempts;
     }
 
-    void tick(ShardHost shards) {
-        if (clock.now() - renewedMillis < RENEW_MILLIS) {
+    void tick(ShardManager shards) {
+        if (clock.now() - lastRenewalMillis < RENEWAL_INTERVAL_MILLIS) {
             return;
         }
-        renewedMillis = clock.now();
+        lastRenewalMillis = clock.now();
         shards.all().stream().filter(Shard::isOwned).forEach(this::renew);
     }
 
     private void renew(Shard shard) {
-        Map<String, List<String>> byEndpoint = new HashMap<>();
+        Map<String, List<String>> programsByEndpoint = new HashMap<>();
         for (ProgramView program : shard.programs()) {
             if (program.endedCode().isEmpty()) {
-                scheduler.cachedAt(program.id()).ifPresent(endpoint -> byEndpoint
+                scheduler.cachedAt(program.id()).ifPresent(endpoint -> programsByEndpoint
                         .computeIfAbsent(endpoint, ignored -> new ArrayList<>())
                         .add(program.id()));
             }
         }
-        byEndpoint.forEach((endpoint, programs) -> attempts.link(endpoint)
-                .ifPresent(link -> link.send(Message.cacheRenew(
-                        new CacheRenew(shard.number(), shard.epoch(), programs, AttemptOrders.CACHE_LEASE_MILLIS)))));
+        programsByEndpoint.forEach((endpoint, programs) -> attempts.link(endpoint)
+                .ifPresent(link -> link.send(Message.cacheRenew(new CacheRenew(
+                        shard.number(), shard.epoch(), programs, AttemptStartFactory.CACHE_LEASE_MILLIS)))));
     }
 
-    void programEnded(ShardHost shards, String program) {
+    void release(ShardManager shards, String program) {
         Shard shard = shards.shard(ShardNumbers.ofProgram(program, shards.count()));
         if (!shard.isOwned()) {
             return;
--- a/server/src/main/java/org/quetzalshunt/server/entry/CallRun.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/CallRun.java
@@ -17,8 +17,9 @@
 import org.quetzalshunt.wire.generated.AttemptStart;
 
 /**
- * One call of a plain service under way at the owner. A call with an intent is tried again only after an attempt of
- * which it is known that it did not run; what may have run ends as unknown and stays so.
+ * One call of a plain service in progress at the owner of its shard. A call that must run at most once has an intent
+ * record in the log. Such a call is retried only if the failed attempt certainly did not run; otherwise it ends with
+ * the result {@link ResultCode#OUTCOME_UNKNOWN}, which re-sends get too.
  */
 final class CallRun {
     private static final int MAXIMUM_ATTEMPTS = 3;
@@ -33,10 +34,10 @@
     private final ResponseSink sink;
     private final Shard shard;
     private final long arrivedMillis;
-    private Optional<WorkItem> waiting = Optional.empty();
-    private Optional<Long> attempt = Optional.empty();
+    private Optional<WorkItem> queuedItem = Optional.empty();
+    private Optional<Long> attemptId = Optional.empty();
     private boolean mayHaveRun;
-    private int attempts;
+    private int attemptCount;
     private String avoidEndpoint = "";
     private boolean started;
     private boolean done;
@@ -62,128 +63,134 @@
     }
 
     /**
-     * Answers a call whose intent the log has not taken by its deadline. It is given up first, so "not run" is true, and
-     * the caller need not wait for the log to come back.
+     * Refuses a call whose intent record is not durable by its deadline, so that the caller does not wait for the log
+     * to recover. The call is withdrawn first, which makes sure that it does not run later.
      */
     void expire(long nowMillis) {
-        boolean waitsForIntent = call.isPresent() && !started && !done;
-        if (!waitsForIntent || nowMillis < request.deadlineMillis()) {
+        boolean awaitsIntent = call.isPresent() && !started && !done;
+        if (!awaitsIntent || nowMillis < request.deadlineMillis()) {
             return;
         }
         done = true;
         shard.withdrawCall(call.get());
-        tell(Refusal.notRunRetryAfter(ResultCode.LOG_UNAVAILABLE, "the call's intent could not be kept", 1_000));
+        sendRefusal(Refusal.notRunRetryAfter(
+                ResultCode.LOG_UNAVAILABLE, "the call's intent could not be written to the log in time", 1_000));
     }
 
-    /** Queues the call for an endpoint; for one with an intent, after the intent is folded. */
+    /** Queues the call for an endpoint. A call with an intent is queued after its intent record has been applied. */
     void start() {
         started = true;
-        Optional<Refusal> refusal =
-                owner.board().offer((id, board) -> new CallWork(item(id)), limits.queuePerAccount());
+        Optional<Refusal> refusal = owner.workDispatcher()
+                .offer((id, dispatcher) -> new QueuedCall(createItem(id)), limits.queuePerAccount());
         refusal.ifPresent(this::fail);
-        owner.board().tick();
+        owner.workDispatcher().tick();
     }
 
-    private WorkItem item(long id) {
-        WorkItem item = WorkItems.ofCall(owner, id, service, request, arrivedMillis, attempts, avoidEndpoint);
-        waiting = Optional.of(item);
+    private WorkItem createItem(long id) {
+        WorkItem item = WorkItemFactory.ofCall(owner, id, service, request, arrivedMillis, attemptCount, avoidEndpoint);
+        queuedItem = Optional.of(item);
         return item;
     }
 
-    /** The caller went away: a call that has not been dispatched is dropped, one that runs goes on to its record. */
-    void callerGone() {
-        if (done || attempt.isPresent() || request.hasCallersKey()) {
+    /**
+     * Drops the call if it has not been dispatched and has no caller's idempotency key; otherwise it runs to its end.
+     */
+    void onCallerDisconnected() {
+        if (done || attemptId.isPresent() || request.hasCallerIdempotencyKey()) {
             return;
         }
-        fail(Refusal.notRun(ResultCode.CANCELLED, "the caller left"));
+        fail(Refusal.notRun(ResultCode.CANCELLED, "the caller closed the connection"));
     }
 
-    /** Ends the call with a refusal, recorded first so that a re-send hears the same. */
+    /** Ends the call with an error. A call with an intent is recorded first, so that a re-send gets the same result. */
     void fail(Refusal refusal) {
         if (done) {
             return;
         }
         done = true;
-        waiting.ifPresent(item -> owner.board().withdraw(item));
-        attempt.ifPresent(id -> owner.attempts().cancel(id));
+        queuedItem.ifPresent(item -> owner.workDispatcher().withdraw(item));
+        attemptId.ifPresent(id -> owner.attempts().cancel(id));
         if (call.isEmpty()) {
-            tell(refusal);
+            sendRefusal(refusal);
             return;
         }
-        ResultCode recorded = refusal.execution() == Execution.NOT_RUN ? refusal.code() : ResultCode.OUTCOME_UNKNOWN;
-        shard.endCall(owner.clock().now(), call.get(), recorded, StoredAnswer.none(), kept -> tell(refusal));
+        ResultCode recordedCode =
+                refusal.execution() == Execution.NOT_RUN ? refusal.code() : ResultCode.OUTCOME_UNKNOWN;
+        shard.endCall(
+                owner.clock().now(), call.get(), recordedCode, StoredAnswer.none(), durable -> sendRefusal(refusal));
     }
 
-    /** The intent was not kept, so there is nothing to record. */
-    void intentRefused(Refusal refusal) {
+    /** Ends a call whose intent was refused. Nothing is recorded, since there is no intent record. */
+    void onIntentRefused(Refusal refusal) {
         if (!done) {
             done = true;
-            tell(refusal);
+            sendRefusal(refusal);
         }
     }
 
-    boolean isOf(int shardNumber) {
+    boolean belongsTo(int shardNumber) {
         return shard.number() == shardNumber;
     }
 
-    /** Ends the call without a record, when the shard is no longer this entry's. */
-    void ownershipLost() {
+    /** Ends the call without a record, because this entry no longer owns the shard. */
+    void onOwnershipLost() {
         if (done) {
             return;
         }
         done = true;
-        waiting.ifPresent(item -> owner.board().withdraw(item));
-        boolean unknown = mayHaveRun || attempt.isPresent();
-        tell(
+        queuedItem.ifPresent(item -> owner.workDispatcher().withdraw(item));
+        boolean unknown = mayHaveRun || attemptId.isPresent();
+        sendRefusal(
                 unknown
-                        ? Refusal.after(ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, "the shard passed on")
-                        : Refusal.notRunRetryAfter(ResultCode.NOT_OWNER, "the shard passed on", 1_000));
+                        ? Refusal.after(ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, "the owner of the shard changed")
+                        : Refusal.notRunRetryAfter(ResultCode.NOT_OWNER, "the owner of the shard changed", 1_000));
     }
 
-    private void tell(Refusal refusal) {
+    private void sendRefusal(Refusal refusal) {
         owner.callRuns().remove(request.requestId());
         owner.refuse(request, sink, refusal);
-        owner.waiters().refused(request.requestId(), refusal);
+        owner.duplicateRequests().onRefusal(request.requestId(), refusal);
     }
 
-    private void whole(StoredAnswer answer) {
+    private void complete(StoredAnswer answer) {
         done = true;
         if (call.isEmpty()) {
-            answer(answer);
+            sendAnswer(answer);
             return;
         }
-        shard.endCall(owner.clock().now(), call.get(), ResultCode.OK, answer, kept -> answer(answer));
+        shard.endCall(owner.clock().now(), call.get(), ResultCode.OK, answer, durable -> sendAnswer(answer));
     }
 
-    private void answer(StoredAnswer answer) {
+    private void sendAnswer(StoredAnswer answer) {
         owner.callRuns().remove(request.requestId());
-        Answers.stored(sink, answer, request.requestId());
-        owner.waiters().answered(request.requestId(), answer);
+        CallerResponses.sendStored(sink, answer, request.requestId());
+        owner.duplicateRequests().onAnswer(request.requestId(), answer);
     }
 
     private void attemptFailed(String endpoint, AttemptOutcome outcome) {
-        attempt = Optional.empty();
+        attemptId = Optional.empty();
         boolean notRun = outcome.execution() == Execution.NOT_RUN;
         mayHaveRun |= !notRun;
         avoidEndpoint = endpoint;
         boolean repeatable = call.isEmpty();
-        boolean again = (notRun || repeatable)
+        boolean retry = (notRun || repeatable)
                 && outcome.code() != ResultCode.DEADLINE_PASSED_RUNNING
                 && outcome.code() != ResultCode.STALE_EPOCH
-                && attempts < MAXIMUM_ATTEMPTS
-                && owner.board().scheduler().mayRetry(owner.clock().now(), service);
-        if (again) {
+                && attemptCount < MAXIMUM_ATTEMPTS
+                && owner.workDispatcher().scheduler().mayRetry(owner.clock().now(), service);
+        if (retry) {
             start();
             return;
         }
         ResultCode code = mayHaveRun && !repeatable ? ResultCode.OUTCOME_UNKNOWN : outcome.code();
-        fail(Refusal.after(code, mayHaveRun ? Execution.UNKNOWN : Execution.NOT_RUN, attempts + " attempts"));
+        fail(Refusal.after(
+                code, mayHaveRun ? Execution.UNKNOWN : Execution.NOT_RUN, attemptCount + " attempts were made"));
     }
 
-    private final class CallWork implements Work {
+    private final class QueuedCall implements QueuedWork {
         private final WorkItem item;
 
-        CallWork(WorkItem item) {
+        QueuedCall(WorkItem item) {
             this.item = item;
         }
 
@@ -193,39 +200,39 @@
         }
 
         @Override
-        public void dispatched(Dispatch dispatch) {
-            waiting = Optional.empty();
-            attempts++;
-            AttemptStart order =
-                    AttemptOrders.ofCall(owner, shard, service, path, limits, call.isEmpty(), request, dispatch);
-            CallAttempt listener = new CallAttempt(dispatch);
-            attempt = owner.attempts().start(dispatch.endpoint(), order, listener);
-            if (attempt.isEmpty()) {
+        public void onDispatched(Dispatch dispatch) {
+            queuedItem = Optional.empty();
+            attemptCount++;
+            AttemptStart startMessage =
+                    AttemptStartFactory.ofCall(owner, shard, service, path, limits, call.isEmpty(), request, dispatch);
+            CallAttemptListener listener = new CallAttemptListener(dispatch);
+            attemptId = owner.attempts().start(dispatch.endpoint(), startMessage, listener);
+            if (attemptId.isEmpty()) {
                 listener.onOutcome(AttemptOutcome.failed(ResultCode.ENDPOINT_FAILED, Execution.NOT_RUN));
             }
         }
 
         @Override
-        public void expired(Refusal refusal) {
-            waiting = Optional.empty();
+        public void onExpired(Refusal refusal) {
+            queuedItem = Optional.empty();
             fail(mayHaveRun ? Refusal.after(refusal.code(), Execution.UNKNOWN, refusal.detail()) : refusal);
         }
     }
 
-    private final class CallAttempt implements AttemptListener {
+    private final class CallAttemptListener implements AttemptListener {
         private final Dispatch dispatch;
         private final long startedMillis = owner.clock().now();
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private int status = 502;
         private String contentType = DEFAULT_CONTENT_TYPE;
 
-        CallAttempt(Dispatch dispatch) {
+        CallAttemptListener(Dispatch dispatch) {
             this.dispatch = dispatch;
         }
 
         @Override
-        public void onHead(int answered, Map<String, String> headers) {
-            status = answered;
+        public void onHead(int headStatus, Map<String, String> headers) {
+            status = headStatus;
             contentType = headers.getOrDefault(CallerHeaders.CONTENT_TYPE, DEFAULT_CONTENT_TYPE);
         }
 
@@ -237,17 +244,17 @@
         @Override
         public void onOutcome(AttemptOutcome outcome) {
             long duration = owner.clock().now() - startedMillis;
-            owner.board()
+            owner.workDispatcher()
                     .finished(
                             dispatch.item(),
-                            outcome.isWhole()
+                            outcome.isComplete()
                                     ? Finish.ok(0, 0, 1, duration, duration)
                                     : Finish.endpointFailed(0, duration));
             if (done) {
                 return;
             }
-            if (outcome.isWhole()) {
-                whole(new StoredAnswer(status, contentType, body.toByteArray()));
+            if (outcome.isComplete()) {
+                complete(new StoredAnswer(status, contentType, body.toByteArray()));
                 return;
             }
             attemptFailed(dispatch.endpoint(), outcome);
--- a/server/src/main/java/org/quetzalshunt/server/entry/CallerApi.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/CallerApi.java
@@ -18,8 +18,8 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * The callers' interface: checks the key against the configuration in force, then the rate, then passes the request to
- * the owner of its shard. From here on only the account's name goes with it.
+ * HTTP API for callers: authenticates the key against the configuration in force, checks the account's rate limit, and
+ * routes the request to the owner of its shard. The routed request carries the account's name but not the key.
  */
 final class CallerApi {
     private static final Pattern PROGRAM_ID = Pattern.compile("[A-Za-z0-9._-]{1,128}");
@@ -27,35 +27,35 @@
     private static final Pattern TURN = Pattern.compile("[1-9][0-9]{0,8}");
 
     private final EntryClock clock;
-    private final ConfigurationHost host;
-    private final RateGate rates;
+    private final ConfigurationStream configurationStream;
+    private final RateLimiter rateLimiter;
     private final OwnerRouter router;
-    private final EntryMeasures measures;
+    private final EntryMetrics metrics;
     private final RequestIds requestIds;
     private final int shards;
     private final BooleanSupplier stopping;
 
     CallerApi(
             EntryClock clock,
-            ConfigurationHost host,
-            RateGate rates,
+            ConfigurationStream configurationStream,
+            RateLimiter rateLimiter,
             OwnerRouter router,
-            EntryMeasures measures,
+            EntryMetrics metrics,
             RequestIds requestIds,
             int shards,
             BooleanSupplier stopping) {
         this.clock = clock;
-        this.host = host;
-        this.rates = rates;
+        this.configurationStream = configurationStream;
+        this.rateLimiter = rateLimiter;
         this.router = router;
-        this.measures = measures;
+        this.metrics = metrics;
         this.requestIds = requestIds;
         this.shards = shards;
         this.stopping = stopping;
     }
 
-    /** Whether a path is of this interface. */
-    static boolean takes(String path) {
+    /** Whether a path belongs to this API. */
+    static boolean handles(String path) {
         return path.startsWith("/v1/");
     }
 
@@ -67,9 +67,13 @@
             refuse(exchange, "", requestId, refusal.get());
             return;
         }
-        Optional<String> keyHash = Keys.hash(exchange);
+        Optional<String> keyHash = ApiKeys.hash(exchange);
         if (keyHash.isEmpty()) {
-            refuse(exchange, "", requestId, Refusal.notRun(ResultCode.MISSING_KEY, "send Authorization: Bearer"));
+            refuse(
+                    exchange,
+                    "",
+                    requestId,
+                    Refusal.notRun(ResultCode.MISSING_KEY, "send the key as Authorization: Bearer KEY"));
             return;
         }
         if (exchange.path().equals(OwnerService.CHAT_PATH)) {
@@ -89,22 +93,22 @@
         if (stopping.getAsBoolean()) {
             return Optional.of(Refusal.notRunRetryAfter(ResultCode.STOPPING, "connect again", 1_000));
         }
-        if (!host.isReady()) {
+        if (!configurationStream.isReady()) {
             return Optional.of(Refusal.notRunRetryAfter(ResultCode.NOT_READY, "connect again", 1_000));
         }
-        if (!host.isFresh()) {
+        if (!configurationStream.isFresh()) {
             return Optional.of(Refusal.notRunRetryAfter(ResultCode.CONFIGURATION_STALE, "connect again", 1_000));
         }
         return Optional.empty();
     }
 
     private static Optional<Refusal> headerRefusal(HttpExchange exchange) {
-        return check(exchange, CallerHeaders.PROGRAM, PROGRAM_ID)
-                .or(() -> check(exchange, CallerHeaders.IDEMPOTENCY_KEY, IDEMPOTENCY_KEY))
-                .or(() -> check(exchange, CallerHeaders.TURN, TURN));
+        return patternRefusal(exchange, CallerHeaders.PROGRAM, PROGRAM_ID)
+                .or(() -> patternRefusal(exchange, CallerHeaders.IDEMPOTENCY_KEY, IDEMPOTENCY_KEY))
+                .or(() -> patternRefusal(exchange, CallerHeaders.TURN, TURN));
     }
 
-    private static Optional<Refusal> check(HttpExchange exchange, String header, Pattern pattern) {
+    private static Optional<Refusal> patternRefusal(HttpExchange exchange, String header, Pattern pattern) {
         return exchange.header(header)
                 .filter(value -> !pattern.matcher(value).matches())
                 .map(value -> Refusal.notRun(ResultCode.INVALID_FIELD, header + " must match " + pattern));
@@ -121,21 +125,21 @@
             return;
         }
         String service = body.toOptional().orElseThrow().service();
-        ofService(exchange, requestId, keyHash, service, OwnerService.CHAT_PATH);
+        routeToService(exchange, requestId, keyHash, service, OwnerService.CHAT_PATH);
     }
 
     private void call(HttpExchange exchange, String requestId, String keyHash) {
         String rest = exchange.path().substring(OwnerService.SERVICES_PATH.length());
         int slash = rest.indexOf('/');
         String service = slash < 0 ? rest : rest.substring(0, slash);
-        ofService(exchange, requestId, keyHash, service, exchange.uri());
+        routeToService(exchange, requestId, keyHash, service, exchange.uri());
     }
 
-    private void ofService(HttpExchange exchange, String requestId, String keyHash, String service, String path) {
-        Configuration configuration = host.configuration();
+    private void routeToService(HttpExchange exchange, String requestId, String keyHash, String service, String path) {
+        Configuration configuration = configurationStream.configuration();
         Optional<KeyOwner> owner = configuration.authenticate(service, keyHash);
         if (owner.isEmpty()) {
-            refuse(exchange, "", requestId, unknown(service, keyHash));
+            refuse(exchange, "", requestId, unknownKeyOrService(service, keyHash));
             return;
         }
         String account = owner.get().account().name();
@@ -145,27 +149,35 @@
                 .map(ServiceDocument::limits)
                 .orElseGet(ServiceLimits::defaults);
         long deadline = clock.now() + limits.requestDeadlineMillis();
-        OwnerRequest request = request(exchange, requestId, account, path, deadline);
-        rates.admit(
+        OwnerRequest request = ownerRequest(exchange, requestId, account, path, deadline);
+        rateLimiter.admit(
                 service,
                 account,
                 () -> router.route(RequestShards.of(request, shards), request, exchange),
                 refusal -> refuse(exchange, account, requestId, refusal));
     }
 
-    /** A key that is valid somewhere may learn that a service does not exist; any other learns nothing. */
-    private Refusal unknown(String service, String keyHash) {
-        boolean knownKey = host.configuration().accountOfKey(keyHash).isPresent();
-        boolean knownService = host.configuration().document(service).isPresent();
+    /**
+     * Reports a missing service only to holders of a valid key; any other request gets the answer for an unknown key.
+     */
+    private Refusal unknownKeyOrService(String service, String keyHash) {
+        boolean knownKey =
+                configurationStream.configuration().accountOfKey(keyHash).isPresent();
+        boolean knownService =
+                configurationStream.configuration().document(service).isPresent();
         return knownKey && !knownService
                 ? Refusal.notRun(ResultCode.UNKNOWN_SERVICE, service)
-                : Refusal.notRun(ResultCode.UNKNOWN_KEY, "for service " + service);
+                : Refusal.notRun(ResultCode.UNKNOWN_KEY, "the key is not valid for service " + service);
     }
 
     private void program(HttpExchange exchange, String requestId, String keyHash) {
-        Optional<String> account = host.configuration().accountOfKey(keyHash);
+        Optional<String> account = configurationStream.configuration().accountOfKey(keyHash);
         if (account.isEmpty()) {
-            refuse(exchange, "", requestId, Refusal.notRun(ResultCode.UNKNOWN_KEY, "for any service"));
+            refuse(
+                    exchange,
+                    "",
+                    requestId,
+                    Refusal.notRun(ResultCode.UNKNOWN_KEY, "the key is not valid for any service"));
             return;
         }
         Optional<Refusal> refusal = programRefusal(exchange);
@@ -174,9 +186,9 @@
             return;
         }
         long deadline = clock.now() + ServiceLimits.defaults().requestDeadlineMillis();
-        OwnerRequest request = request(exchange, requestId, account.get(), exchange.path(), deadline);
+        OwnerRequest request = ownerRequest(exchange, requestId, account.get(), exchange.path(), deadline);
         if (exchange.method().equals("POST")) {
-            create(exchange, request);
+            createProgram(exchange, request);
             return;
         }
         router.route(RequestShards.of(request, shards), request, exchange);
@@ -191,14 +203,14 @@
         }
         String id = exchange.path().substring(OwnerService.PROGRAMS_PATH.length());
         if (!id.startsWith("/") || !PROGRAM_ID.matcher(id.substring(1)).matches()) {
-            return Optional.of(Refusal.notRun(ResultCode.UNKNOWN_PATH, "a program id"));
+            return Optional.of(Refusal.notRun(ResultCode.UNKNOWN_PATH, "the path must end in a program id"));
         }
         return exchange.method().equals("GET") || exchange.method().equals("DELETE")
                 ? Optional.empty()
                 : Optional.of(Refusal.notRun(ResultCode.METHOD_NOT_ALLOWED, "GET, DELETE"));
     }
 
-    private void create(HttpExchange exchange, OwnerRequest request) {
+    private void createProgram(HttpExchange exchange, OwnerRequest request) {
         Outcome<ProgramBody> body = ProgramBody.read(request.body());
         if (body instanceof Outcome.Failure<ProgramBody> failure) {
             refuse(exchange, request.clientAccount(), request.requestId(), failure.refusal());
@@ -214,26 +226,29 @@
         ObjectNode root = Json.object();
         root.put("object", "list");
         ArrayNode data = root.putArray("data");
-        for (VersionedDocument document : host.configuration().documents()) {
-            if (host.configuration().authenticate(document.service(), keyHash).isPresent()) {
+        for (VersionedDocument document : configurationStream.configuration().documents()) {
+            if (configurationStream
+                    .configuration()
+                    .authenticate(document.service(), keyHash)
+                    .isPresent()) {
                 data.addObject()
                         .put("id", document.service())
                         .put("object", "model")
                         .put("owned_by", document.team());
             }
         }
-        exchange.respond(200, Answers.headers(requestId, "application/json"), Json.bytes(root));
+        exchange.respond(200, CallerResponses.headers(requestId, "application/json"), Json.bytes(root));
     }
 
-    private static OwnerRequest request(
+    private static OwnerRequest ownerRequest(
             HttpExchange exchange, String requestId, String account, String path, long deadlineMillis) {
-        Map<String, String> headers = CallerHeaders.passed(exchange);
+        Map<String, String> headers = CallerHeaders.forwarded(exchange);
         return new OwnerRequest(
                 requestId, account, exchange.method(), path, headers, exchange.body(), deadlineMillis, 0);
     }
 
     private void refuse(HttpExchange exchange, String account, String requestId, Refusal refusal) {
-        measures.refused(account, refusal);
-        Answers.refuse(exchange, refusal, requestId);
+        metrics.countRefusal(account, refusal);
+        CallerResponses.sendError(exchange, refusal, requestId);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/CallerHeaders.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/CallerHeaders.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.quetzalshunt.server.http.HttpExchange;
 
-/** Names of headers, and which of a caller's headers go further than the entry that took them. */
+/** Header names, and the selection of a caller's headers that are forwarded to the owner and to the endpoint. */
 final class CallerHeaders {
     static final String PROGRAM = "quetzalshunt-program";
     static final String TURN = "quetzalshunt-turn";
@@ -16,22 +16,22 @@
     static final String CONTENT_TYPE = "content-type";
     static final String ACCEPT = "accept";
 
-    /** An allowlist, so that a key in a header that nobody thought of stays here too. */
-    private static final Set<String> PASSED = Set.of(PROGRAM, TURN, MESSAGES, IDEMPOTENCY_KEY, CONTENT_TYPE, ACCEPT);
+    /** An allowlist, so that a key in an unexpected header is not forwarded either. */
+    private static final Set<String> FORWARDED = Set.of(PROGRAM, TURN, MESSAGES, IDEMPOTENCY_KEY, CONTENT_TYPE, ACCEPT);
 
     private static final Set<String> TO_ENDPOINT = Set.of(IDEMPOTENCY_KEY, CONTENT_TYPE, ACCEPT);
 
     private CallerHeaders() {}
 
-    static Map<String, String> passed(HttpExchange exchange) {
-        Map<String, String> passed = new HashMap<>();
+    static Map<String, String> forwarded(HttpExchange exchange) {
+        Map<String, String> forwarded = new HashMap<>();
         for (Map.Entry<String, String> header : exchange.headers()) {
             String name = header.getKey().toLowerCase(Locale.ROOT);
-            if (PASSED.contains(name)) {
-                passed.put(name, header.getValue());
+            if (FORWARDED.contains(name)) {
+                forwarded.put(name, header.getValue());
             }
         }
-        return passed;
+        return forwarded;
     }
 
     static Map<String, String> toEndpoint(OwnerRequest request) {
--- a/server/src/main/java/org/quetzalshunt/server/entry/Answers.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/CallerResponses.java
@@ -8,13 +8,13 @@
 import org.quetzalshunt.server.http.ResponseSink;
 import org.quetzalshunt.wire.json.Json;
 
-/** Sends answers and refusals to a caller, whatever was sent before. */
-final class Answers {
+/** Writes responses and error responses to a caller, including errors after the response has begun. */
+final class CallerResponses {
     static final String EVENT_STREAM = "text/event-stream";
 
-    private Answers() {}
+    private CallerResponses() {}
 
-    /** Headers of every answer: which request it was. */
+    /** Headers of every response: the content type and the request id. */
     static Map<String, String> headers(String requestId, String contentType) {
         Map<String, String> headers = new HashMap<>();
         headers.put("content-type", contentType);
@@ -23,21 +23,21 @@
     }
 
     /**
-     * Tells a refusal. In a stream that has begun it comes as an error event and the end mark is left out, so that a
-     * client can't take a part for the whole.
+     * Sends an error. If the response has begun, the error is sent as an event and the connection is aborted without
+     * the end marker, so that a client cannot mistake a truncated response for a complete one.
      */
-    static void refuse(ResponseSink sink, Refusal refusal, String requestId) {
+    static void sendError(ResponseSink sink, Refusal refusal, String requestId) {
         if (!sink.started()) {
             ErrorBodies.send(sink, refusal, requestId);
             return;
         }
-        sink.write(ChatAnswer.event(
+        sink.write(ChatCompletionAssembler.sseEvent(
                 Json.parse(ErrorBodies.json(refusal, requestId)).orElseThrow()));
         sink.abort();
     }
 
-    /** Sends a kept answer. */
-    static void stored(ResponseSink sink, StoredAnswer answer, String requestId) {
+    /** Sends the stored response of an earlier request. */
+    static void sendStored(ResponseSink sink, StoredAnswer answer, String requestId) {
         sink.respond(answer.status(), headers(requestId, answer.contentType()), answer.body());
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/ChatBody.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ChatBody.java
@@ -18,15 +18,15 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * Body of a chat completion request (OpenAI API reference, "Create chat completion"), checked.
+ * Validated body of a chat completion request (OpenAI API reference, "Create chat completion").
  *
- * @param service value of {@code model}
- * @param messages each message in canonical octets
- * @param stream whether the caller wants SSE
- * @param includeUsage whether the caller wants a usage chunk
- * @param maximumTokens bound on generated tokens; 0 when the caller names none
- * @param passedFields fields that are handed to the engine as they came
- * @param digest digest of what was asked
+ * @param service name of the service, from the field {@code model}
+ * @param messages the messages in canonical encoding
+ * @param stream whether the caller requested a stream of server-sent events
+ * @param includeUsage whether the caller requested a usage chunk
+ * @param maximumTokens limit on generated tokens; 0 if the caller set none
+ * @param passthroughFields fields that are copied unchanged into the request to the engine
+ * @param digest SHA-256 of the body
  */
 record ChatBody(
         String service,
@@ -34,14 +34,14 @@
         boolean stream,
         boolean includeUsage,
         int maximumTokens,
-        ObjectNode passedFields,
+        ObjectNode passthroughFields,
         byte[] digest) {
-    private static final Set<String> OWN_FIELDS =
+    private static final Set<String> INTERPRETED_FIELDS =
             Set.of("model", "messages", "stream", "stream_options", "max_tokens", "max_completion_tokens", "n");
     private static final List<String> MESSAGE_FIELDS = List.of("role", "content", "name", "tool_call_id", "tool_calls");
     private static final Set<String> ROLES = Set.of("system", "developer", "user", "assistant", "tool", "function");
 
-    /** Reads a body; the refusal names the first field that is wrong. */
+    /** Parses and validates a body; the refusal names the first invalid field. */
     static Outcome<ChatBody> read(byte[] body) {
         if (!isUtf8(body)) {
             return refuse(ResultCode.INVALID_ENCODING, "invalid UTF-8");
@@ -70,37 +70,37 @@
         if (root.path("n").asInt(1) != 1) {
             return refuse(ResultCode.INVALID_FIELD, "n must be 1");
         }
-        Optional<JsonNode> bound = Optional.ofNullable(root.get("max_completion_tokens"))
+        Optional<JsonNode> tokenLimit = Optional.ofNullable(root.get("max_completion_tokens"))
                 .or(() -> Optional.ofNullable(root.get("max_tokens")))
                 .filter(node -> !node.isNull());
-        if (bound.isPresent()
-                && (!bound.get().canConvertToInt()
-                        || !bound.get().isIntegralNumber()
-                        || bound.get().asInt() < 1)) {
+        if (tokenLimit.isPresent()
+                && (!tokenLimit.get().canConvertToInt()
+                        || !tokenLimit.get().isIntegralNumber()
+                        || tokenLimit.get().asInt() < 1)) {
             return refuse(ResultCode.INVALID_FIELD, "max_tokens must be a positive integer");
         }
         List<byte[]> messages = new ArrayList<>();
         for (JsonNode message : root.get("messages")) {
             if (!message.isObject() || !ROLES.contains(message.path("role").asText())) {
-                return refuse(ResultCode.INVALID_FIELD, "messages[" + messages.size() + "].role is not known");
+                return refuse(ResultCode.INVALID_FIELD, "messages[" + messages.size() + "].role is missing or unknown");
             }
             messages.add(canonical(message));
         }
-        ObjectNode passed = root.deepCopy();
-        passed.remove(OWN_FIELDS);
+        ObjectNode passthrough = root.deepCopy();
+        passthrough.remove(INTERPRETED_FIELDS);
         return Outcome.success(new ChatBody(
                 root.get("model").asText(),
                 messages,
                 root.path("stream").asBoolean(false),
                 root.path("stream_options").path("include_usage").asBoolean(false),
-                bound.map(JsonNode::asInt).orElse(0),
-                passed,
+                tokenLimit.map(JsonNode::asInt).orElse(0),
+                passthrough,
                 Digests.sha256(body)));
     }
 
     /**
-     * A message reduced to the fields that a model reads, in a fixed order, so that a client which sends an answer back
-     * with fields added or left out still extends the same history.
+     * Canonical encoding of a message: only the fields that a model reads, in a fixed order. A client that sends back
+     * an earlier completion with other fields added or omitted thus still extends the same history.
      */
     static byte[] canonical(JsonNode message) {
         ObjectNode canonical = Json.object();
@@ -116,18 +116,18 @@
         return Json.bytes(canonical);
     }
 
-    /** The request for an engine: always streamed and with usage, so that progress and cost are seen. */
+    /** Body of the request to the engine. It always requests streaming and usage, to track progress and cost. */
     byte[] engineBody(List<byte[]> prompt, int maximumOutputTokens) {
         ObjectNode root = Json.object();
         root.put("model", service);
         root.put("stream", true);
         root.putObject("stream_options").put("include_usage", true);
         root.put("max_tokens", maximumOutputTokens);
-        for (Map.Entry<String, JsonNode> field : passedFields.properties()) {
+        for (Map.Entry<String, JsonNode> field : passthroughFields.properties()) {
             root.set(field.getKey(), field.getValue());
         }
-        byte[] head = Json.bytes(root);
-        return Splice.withMessages(head, prompt);
+        byte[] object = Json.bytes(root);
+        return JsonSplice.withMessages(object, prompt);
     }
 
     private static boolean isUtf8(byte[] body) {
--- a/server/src/main/java/org/quetzalshunt/server/entry/ChatAnswer.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ChatCompletionAssembler.java
@@ -13,13 +13,13 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * Gathers the chunks of a streamed chat completion into one answer (OpenAI API reference, "The chat completion chunk
- * object"), and writes the answer in either form.
+ * Assembles the chunks of a streamed chat completion (OpenAI API reference, "The chat completion chunk object") into
+ * one completion, and writes it as a JSON body or as a stream of events.
  */
-final class ChatAnswer {
+final class ChatCompletionAssembler {
     private static final byte[] DONE = "data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8);
-    private static final byte[] DATA = "data: ".getBytes(StandardCharsets.UTF_8);
-    private static final byte[] END = "\n\n".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] DATA_PREFIX = "data: ".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] EVENT_END = "\n\n".getBytes(StandardCharsets.UTF_8);
 
     private final String id;
     private final String model;
@@ -29,13 +29,13 @@
     private String finishReason = "stop";
     private long deltas;
 
-    ChatAnswer(String requestId, String model, long nowMillis) {
+    ChatCompletionAssembler(String requestId, String model, long nowMillis) {
         this.id = "chatcmpl-" + requestId;
         this.model = model;
         this.createdSeconds = nowMillis / 1_000;
     }
 
-    /** Adds a chunk. The result is the event to pass on; empty for one that ends the answer, which is held back. */
+    /** Adds a chunk and returns the event to forward; empty for a usage chunk and for a final chunk without content. */
     Optional<byte[]> add(byte[] chunk) {
         Optional<JsonNode> parsed = Json.parse(chunk).filter(JsonNode::isObject);
         if (parsed.isEmpty()) {
@@ -65,10 +65,10 @@
         if (last) {
             ((ObjectNode) choice).putNull("finish_reason");
         }
-        return Optional.of(event(root));
+        return Optional.of(sseEvent(root));
     }
 
-    /** Chunks that carried a part of the answer: a lower bound on the tokens generated. */
+    /** Number of chunks that carried a part of the completion: a lower bound on the generated tokens. */
     long deltas() {
         return deltas;
     }
@@ -80,13 +80,14 @@
             call.put("type", part.path("type").asText("function"));
         }
         JsonNode function = part.path("function");
-        ObjectNode kept = call.has("function") ? (ObjectNode) call.get("function") : call.putObject("function");
+        ObjectNode assembled = call.has("function") ? (ObjectNode) call.get("function") : call.putObject("function");
         if (function.path("name").isTextual()) {
-            kept.set("name", function.get("name"));
+            assembled.set("name", function.get("name"));
         }
-        kept.put(
+        assembled.put(
                 "arguments",
-                kept.path("arguments").asText("") + function.path("arguments").asText(""));
+                assembled.path("arguments").asText("")
+                        + function.path("arguments").asText(""));
     }
 
     /** The assistant's message. */
@@ -101,9 +102,9 @@
         return message;
     }
 
-    /** The whole answer as one JSON body. */
+    /** The completion as one JSON body. */
     byte[] body(TurnUsage usage) {
-        ObjectNode root = head("chat.completion");
+        ObjectNode root = envelope("chat.completion");
         ObjectNode choice = root.putArray("choices").addObject();
         choice.put("index", 0);
         choice.set("message", message());
@@ -112,30 +113,30 @@
         return Json.bytes(root);
     }
 
-    /** The events that close a stream: the finish reason, the usage when wanted, the end mark. */
-    List<byte[]> closing(TurnUsage usage, boolean includeUsage) {
+    /** The events that close a stream: the finish reason, the usage if requested, and the end marker. */
+    List<byte[]> closingEvents(TurnUsage usage, boolean includeUsage) {
         List<byte[]> events = new ArrayList<>();
-        ObjectNode finish = head("chat.completion.chunk");
+        ObjectNode finish = envelope("chat.completion.chunk");
         ObjectNode choice = finish.putArray("choices").addObject();
         choice.put("index", 0);
         choice.putObject("delta");
         choice.put("finish_reason", finishReason);
-        events.add(event(finish));
+        events.add(sseEvent(finish));
         if (includeUsage) {
-            ObjectNode last = head("chat.completion.chunk");
+            ObjectNode last = envelope("chat.completion.chunk");
             last.putArray("choices");
             last.set("usage", usageNode(usage));
-            events.add(event(last));
+            events.add(sseEvent(last));
         }
         events.add(DONE);
         return events;
     }
 
-    /** A stored JSON body as a stream of events, for a re-send that asks for one. */
-    static List<byte[]> replay(byte[] body, boolean includeUsage) {
+    /** Converts a stored JSON body to a stream of events, for a re-send that requests streaming. */
+    static List<byte[]> replayEvents(byte[] body, boolean includeUsage) {
         JsonNode stored = Json.parse(body).orElseGet(Json::object);
         List<byte[]> events = new ArrayList<>();
-        ObjectNode chunk = chunkOf(stored);
+        ObjectNode chunk = chunkEnvelope(stored);
         ObjectNode choice = chunk.putArray("choices").addObject();
         choice.put("index", 0);
         ObjectNode delta =
@@ -149,34 +150,34 @@
         }
         choice.set("delta", delta);
         choice.putNull("finish_reason");
-        events.add(event(chunk));
-        ObjectNode finish = chunkOf(stored);
+        events.add(sseEvent(chunk));
+        ObjectNode finish = chunkEnvelope(stored);
         ObjectNode last = finish.putArray("choices").addObject();
         last.put("index", 0);
         last.putObject("delta");
         last.set("finish_reason", stored.path("choices").path(0).path("finish_reason"));
-        events.add(event(finish));
+        events.add(sseEvent(finish));
         if (includeUsage) {
-            ObjectNode usage = chunkOf(stored);
+            ObjectNode usage = chunkEnvelope(stored);
             usage.putArray("choices");
             usage.set("usage", stored.path("usage"));
-            events.add(event(usage));
+            events.add(sseEvent(usage));
         }
         events.add(DONE);
         return events;
     }
 
-    /** An event with a JSON value. */
-    static byte[] event(JsonNode value) {
+    /** Encodes a JSON value as a server-sent event. */
+    static byte[] sseEvent(JsonNode value) {
         byte[] json = Json.bytes(value);
-        byte[] event = new byte[DATA.length + json.length + END.length];
-        System.arraycopy(DATA, 0, event, 0, DATA.length);
-        System.arraycopy(json, 0, event, DATA.length, json.length);
-        System.arraycopy(END, 0, event, DATA.length + json.length, END.length);
+        byte[] event = new byte[DATA_PREFIX.length + json.length + EVENT_END.length];
+        System.arraycopy(DATA_PREFIX, 0, event, 0, DATA_PREFIX.length);
+        System.arraycopy(json, 0, event, DATA_PREFIX.length, json.length);
+        System.arraycopy(EVENT_END, 0, event, DATA_PREFIX.length + json.length, EVENT_END.length);
         return event;
     }
 
-    private static ObjectNode chunkOf(JsonNode stored) {
+    private static ObjectNode chunkEnvelope(JsonNode stored) {
         ObjectNode chunk = Json.object();
         chunk.set("id", stored.path("id"));
         chunk.put("object", "chat.completion.chunk");
@@ -185,7 +186,7 @@
         return chunk;
     }
 
-    private ObjectNode head(String object) {
+    private ObjectNode envelope(String object) {
         ObjectNode root = Json.object();
         root.put("id", id);
         root.put("object", object);
--- a/server/src/main/java/org/quetzalshunt/server/entry/ChatRun.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ChatRun.java
@@ -16,9 +16,11 @@
 import org.quetzalshunt.server.http.ResponseSink;
 import org.quetzalshunt.wire.generated.AttemptStart;
 
-/** One turn under way at the owner: queued, tried at endpoints, recorded, answered. */
+/**
+ * One turn in progress at the owner of its shard: queues it, attempts it at endpoints, records and returns the result.
+ */
 final class ChatRun {
-    /** With two failed endpoints the request itself is suspect, and a third try is the last that anyone pays for. */
+    /** After two failures the request itself is the likely cause, so a third attempt is the last, to bound the cost. */
     private static final int MAXIMUM_ATTEMPTS = 3;
 
     private final OwnerContext owner;
@@ -27,11 +29,11 @@
     private final ResponseSink sink;
     private final Shard shard;
     private final long arrivedMillis;
-    private Optional<TurnStart> start = Optional.empty();
-    private Optional<WorkItem> waiting = Optional.empty();
-    private Optional<Long> attempt = Optional.empty();
-    private ChatAnswer answer;
-    private int attempts;
+    private Optional<TurnStart> turnStart = Optional.empty();
+    private Optional<WorkItem> queuedItem = Optional.empty();
+    private Optional<Long> attemptId = Optional.empty();
+    private ChatCompletionAssembler completion;
+    private int attemptCount;
     private String avoidEndpoint = "";
     private boolean mayHaveRun;
     private boolean done;
@@ -43,95 +45,106 @@
         this.sink = sink;
         this.shard = shard;
         this.arrivedMillis = owner.clock().now();
-        this.answer = new ChatAnswer(request.requestId(), body.service(), arrivedMillis);
+        this.completion = new ChatCompletionAssembler(request.requestId(), body.service(), arrivedMillis);
     }
 
-    /** The shard says that the turn may run. */
+    /** Starts the turn; called by the shard when the turn may run. */
     void start(TurnStart turn) {
-        start = Optional.of(turn);
-        offer();
+        turnStart = Optional.of(turn);
+        enqueue();
     }
 
-    private void offer() {
-        TurnStart turn = start.orElseThrow();
-        Optional<Refusal> refusal = owner.board()
+    private void enqueue() {
+        TurnStart turn = turnStart.orElseThrow();
+        Optional<Refusal> refusal = owner.workDispatcher()
                 .offer(
-                        (id, board) -> new ChatWork(item(id, turn)),
+                        (id, dispatcher) -> new QueuedTurn(createItem(id, turn)),
                         turn.request().limits().queuePerAccount());
         refusal.ifPresent(this::fail);
-        owner.board().tick();
+        owner.workDispatcher().tick();
     }
 
-    private WorkItem item(long id, TurnStart turn) {
-        WorkItem item = WorkItems.ofTurn(owner, id, turn, arrivedMillis, attempts, avoidEndpoint);
-        waiting = Optional.of(item);
+    private WorkItem createItem(long id, TurnStart turn) {
+        WorkItem item = WorkItemFactory.ofTurn(owner, id, turn, arrivedMillis, attemptCount, avoidEndpoint);
+        queuedItem = Optional.of(item);
         return item;
     }
 
-    /** The caller went away. A request with its key goes on, since the caller may ask for the result. */
-    void callerGone() {
-        if (done || request.hasCallersKey()) {
+    /** Cancels the turn, unless the caller sent an idempotency key, with which it may request the result later. */
+    void onCallerDisconnected() {
+        if (done || request.hasCallerIdempotencyKey()) {
             return;
         }
-        fail(Refusal.after(ResultCode.CANCELLED, mayHaveRun ? Execution.RAN : Execution.NOT_RUN, "the caller left"));
+        fail(Refusal.after(
+                ResultCode.CANCELLED,
+                mayHaveRun ? Execution.RAN : Execution.NOT_RUN,
+                "the caller closed the connection"));
     }
 
-    /** Ends the run with a refusal; gives back whatever it holds. */
+    /** Ends the turn with an error and releases its queue slot, its attempt and its reservation. */
     void fail(Refusal refusal) {
         if (done) {
             return;
         }
         done = true;
-        waiting.ifPresent(item -> owner.board().withdraw(item));
-        attempt.ifPresent(id -> owner.attempts().cancel(id));
-        start.ifPresent(this::closeTurn);
-        owner.runs().remove(request.requestId());
+        queuedItem.ifPresent(item -> owner.workDispatcher().withdraw(item));
+        attemptId.ifPresent(id -> owner.attempts().cancel(id));
+        turnStart.ifPresent(this::closeTurn);
+        owner.chatRuns().remove(request.requestId());
         owner.refuse(request, sink, refusal);
-        owner.waiters().refused(request.requestId(), refusal);
+        owner.duplicateRequests().onRefusal(request.requestId(), refusal);
     }
 
-    boolean isOf(int shardNumber) {
+    boolean belongsTo(int shardNumber) {
         return shard.number() == shardNumber;
     }
 
-    /** The shard is no longer this entry's: the turn can't become part of the program from here. */
-    void ownershipLost() {
+    /** Ends the turn because this entry no longer owns the shard and so can no longer record it. */
+    void onOwnershipLost() {
         if (done) {
             return;
         }
         fail(ownershipRefusal());
     }
 
-    /** A turn that was not recorded is no part of its program, so before any of it was passed on it can run elsewhere. */
+    /**
+     * A turn that was not recorded is not part of its program, so it can run elsewhere if no output has been sent yet.
+     */
     private Refusal ownershipRefusal() {
         return sink.started()
-                ? Refusal.after(ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, "the shard passed on; ask again")
-                : Refusal.notRunRetryAfter(ResultCode.NOT_OWNER, "the shard passed on; ask again", 1_000);
+                ? Refusal.after(
+                        ResultCode.OUTCOME_UNKNOWN,
+                        Execution.UNKNOWN,
+                        "the owner of the shard changed; send the request again")
+                : Refusal.notRunRetryAfter(
+                        ResultCode.NOT_OWNER, "the owner of the shard changed; send the request again", 1_000);
     }
 
     private void closeTurn(TurnStart turn) {
-        if (attempt.isEmpty()) {
+        if (attemptId.isEmpty()) {
             shard.failTurn(owner.clock().now(), turn);
             return;
         }
-        shard.chargeLostAttempt(turn, covered -> shard.failTurn(owner.clock().now(), turn));
+        shard.chargeLostAttempt(
+                turn, withinBudget -> shard.failTurn(owner.clock().now(), turn));
     }
 
     private void dispatch(Dispatch dispatch) {
-        TurnStart turn = start.orElseThrow();
-        attempts++;
-        answer = new ChatAnswer(request.requestId(), body.service(), arrivedMillis);
-        AttemptStart order = AttemptOrders.ofTurn(owner, shard, turn, body, request, dispatch);
-        ChatAttempt listener = new ChatAttempt(dispatch, owner.clock().now());
-        owner.programMoved(turn.request().program(), dispatch.endpoint());
-        attempt = owner.attempts().start(dispatch.endpoint(), order, listener);
-        if (attempt.isEmpty()) {
+        TurnStart turn = turnStart.orElseThrow();
+        attemptCount++;
+        completion = new ChatCompletionAssembler(request.requestId(), body.service(), arrivedMillis);
+        AttemptStart startMessage = AttemptStartFactory.ofTurn(owner, shard, turn, body, request, dispatch);
+        TurnAttemptListener listener =
+                new TurnAttemptListener(dispatch, owner.clock().now());
+        owner.releaseFormerCache(turn.request().program(), dispatch.endpoint());
+        attemptId = owner.attempts().start(dispatch.endpoint(), startMessage, listener);
+        if (attemptId.isEmpty()) {
             listener.onOutcome(AttemptOutcome.failed(ResultCode.ENDPOINT_FAILED, Execution.NOT_RUN));
         }
     }
 
-    private void chunk(byte[] data) {
-        Optional<byte[]> event = answer.add(data);
+    private void forwardChunk(byte[] data) {
+        Optional<byte[]> event = completion.add(data);
         if (event.isEmpty() || !body.stream()) {
             return;
         }
@@ -143,83 +156,84 @@
         if (sink.started()) {
             return;
         }
-        Map<String, String> headers = Answers.headers(request.requestId(), Answers.EVENT_STREAM);
+        Map<String, String> headers = CallerResponses.headers(request.requestId(), CallerResponses.EVENT_STREAM);
         headers.put("cache-control", "no-cache");
-        headers.put(CallerHeaders.PROGRAM, start.orElseThrow().request().program());
+        headers.put(CallerHeaders.PROGRAM, turnStart.orElseThrow().request().program());
         sink.begin(200, headers);
     }
 
-    private void whole(AttemptOutcome outcome) {
-        TurnStart turn = start.orElseThrow();
+    private void complete(AttemptOutcome outcome) {
+        TurnStart turn = turnStart.orElseThrow();
         TurnUsage usage =
-                outcome.usage().orElse(new TurnUsage(turn.contextTokens() + turn.newBytes(), 0, answer.deltas()));
-        StoredAnswer stored = new StoredAnswer(200, "application/json", answer.body(usage));
-        TurnResult result = new TurnResult(ChatBody.canonical(answer.message()), stored, usage);
+                outcome.usage().orElse(new TurnUsage(turn.contextTokens() + turn.newBytes(), 0, completion.deltas()));
+        StoredAnswer stored = new StoredAnswer(200, "application/json", completion.body(usage));
+        TurnResult result = new TurnResult(ChatBody.canonical(completion.message()), stored, usage);
         done = true;
-        shard.endTurn(owner.clock().now(), turn, result, kept -> recorded(kept, turn, stored, usage));
+        shard.endTurn(owner.clock().now(), turn, result, accepted -> onTurnRecorded(accepted, turn, stored, usage));
     }
 
-    private void recorded(boolean kept, TurnStart turn, StoredAnswer stored, TurnUsage usage) {
-        owner.runs().remove(request.requestId());
-        if (!kept) {
+    private void onTurnRecorded(boolean accepted, TurnStart turn, StoredAnswer stored, TurnUsage usage) {
+        owner.chatRuns().remove(request.requestId());
+        if (!accepted) {
             Refusal refusal = ownershipRefusal();
             owner.refuse(request, sink, refusal);
-            owner.waiters().refused(request.requestId(), refusal);
+            owner.duplicateRequests().onRefusal(request.requestId(), refusal);
             return;
         }
-        owner.measures().turnEnded(turn, usage, owner.clock().now() - arrivedMillis);
+        owner.metrics().recordTurn(turn, usage, owner.clock().now() - arrivedMillis);
         if (body.stream()) {
             beginStream();
-            answer.closing(usage, body.includeUsage()).forEach(sink::write);
+            completion.closingEvents(usage, body.includeUsage()).forEach(sink::write);
             sink.end();
         } else {
-            Map<String, String> headers = Answers.headers(request.requestId(), stored.contentType());
+            Map<String, String> headers = CallerResponses.headers(request.requestId(), stored.contentType());
             headers.put(CallerHeaders.PROGRAM, turn.request().program());
             headers.put(CallerHeaders.TURN, Integer.toString(turn.turn()));
             sink.respond(stored.status(), headers, stored.body());
         }
-        owner.waiters().answered(request.requestId(), stored);
+        owner.duplicateRequests().onAnswer(request.requestId(), stored);
     }
 
     /**
-     * Tries elsewhere while nothing was passed on. A turn may run twice at engines, since only the recorded one is part
-     * of the program; what a lost attempt may have cost is charged before the next one starts.
+     * Retries at another endpoint if no output has been sent to the caller. A turn may run twice at engines, because
+     * only the recorded run becomes part of the program. The possible cost of the failed attempt is charged to the
+     * budget before the next one starts.
      */
     private void attemptFailed(String endpoint, AttemptOutcome outcome) {
-        attempt = Optional.empty();
+        attemptId = Optional.empty();
         avoidEndpoint = endpoint;
-        boolean again = retryHelps(outcome.code())
-                && attempts < MAXIMUM_ATTEMPTS
+        boolean retry = isRetryable(outcome.code())
+                && attemptCount < MAXIMUM_ATTEMPTS
                 && !sink.started()
-                && owner.board().scheduler().mayRetry(owner.clock().now(), body.service());
+                && owner.workDispatcher().scheduler().mayRetry(owner.clock().now(), body.service());
         if (outcome.execution() == Execution.NOT_RUN) {
-            retryOrFail(again, outcome);
+            retryOrFail(retry, outcome);
             return;
         }
         mayHaveRun = true;
-        shard.chargeLostAttempt(start.orElseThrow(), covered -> retryOrFail(again && covered, outcome));
+        shard.chargeLostAttempt(turnStart.orElseThrow(), withinBudget -> retryOrFail(retry && withinBudget, outcome));
     }
 
-    private void retryOrFail(boolean again, AttemptOutcome outcome) {
+    private void retryOrFail(boolean retry, AttemptOutcome outcome) {
         if (done) {
             return;
         }
-        if (again) {
-            offer();
+        if (retry) {
+            enqueue();
             return;
         }
         Execution execution = mayHaveRun ? Execution.RAN : Execution.NOT_RUN;
-        fail(Refusal.after(outcome.code(), execution, "after " + attempts + " attempts"));
+        fail(Refusal.after(outcome.code(), execution, "failed after " + attemptCount + " attempts"));
     }
 
-    private static boolean retryHelps(ResultCode code) {
+    private static boolean isRetryable(ResultCode code) {
         return code != ResultCode.DEADLINE_PASSED_RUNNING && code != ResultCode.STALE_EPOCH;
     }
 
-    private final class ChatWork implements Work {
+    private final class QueuedTurn implements QueuedWork {
         private final WorkItem item;
 
-        ChatWork(WorkItem item) {
+        QueuedTurn(WorkItem item) {
             this.item = item;
         }
 
@@ -229,8 +243,8 @@
         }
 
         @Override
-        public void dispatched(Dispatch dispatch) {
-            waiting = Optional.empty();
+        public void onDispatched(Dispatch dispatch) {
+            queuedItem = Optional.empty();
             dispatch(dispatch);
         }
 
@@ -239,18 +253,18 @@
         }
 
         @Override
-        public void expired(Refusal refusal) {
-            waiting = Optional.empty();
+        public void onExpired(Refusal refusal) {
+            queuedItem = Optional.empty();
             fail(mayHaveRun ? Refusal.after(refusal.code(), Execution.RAN, refusal.detail()) : refusal);
         }
     }
 
-    private final class ChatAttempt implements AttemptListener {
+    private final class TurnAttemptListener implements AttemptListener {
         private final Dispatch dispatch;
         private final long startedMillis;
         private long firstTokenMillis;
 
-        ChatAttempt(Dispatch dispatch, long startedMillis) {
+        TurnAttemptListener(Dispatch dispatch, long startedMillis) {
             this.dispatch = dispatch;
             this.startedMillis = startedMillis;
         }
@@ -265,20 +279,20 @@
             }
             if (firstTokenMillis == 0) {
                 firstTokenMillis = owner.clock().now();
-                owner.measures().firstToken(firstTokenMillis - arrivedMillis);
+                owner.metrics().recordFirstToken(firstTokenMillis - arrivedMillis);
             }
-            chunk(data);
-            owner.board().progressed(dispatch.item(), answer.deltas());
+            forwardChunk(data);
+            owner.workDispatcher().progressed(dispatch.item(), completion.deltas());
         }
 
         @Override
         public void onOutcome(AttemptOutcome outcome) {
-            owner.board().finished(dispatch.item(), finish(outcome));
+            owner.workDispatcher().finished(dispatch.item(), finish(outcome));
             if (done) {
                 return;
             }
-            if (outcome.isWhole()) {
-                whole(outcome);
+            if (outcome.isComplete()) {
+                complete(outcome);
                 return;
             }
             attemptFailed(dispatch.endpoint(), outcome);
@@ -286,10 +300,10 @@
 
         private Finish finish(AttemptOutcome outcome) {
             long duration = owner.clock().now() - startedMillis;
-            if (!outcome.isWhole()) {
-                return Finish.endpointFailed(answer.deltas(), duration);
+            if (!outcome.isComplete()) {
+                return Finish.endpointFailed(completion.deltas(), duration);
             }
-            TurnUsage usage = outcome.usage().orElse(new TurnUsage(0, 0, answer.deltas()));
+            TurnUsage usage = outcome.usage().orElse(new TurnUsage(0, 0, completion.deltas()));
             return Finish.ok(
                     usage.promptTokens(),
                     usage.cachedTokens(),
--- a/server/src/main/java/org/quetzalshunt/server/entry/ConfigurationHost.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ConfigurationStream.java
@@ -12,11 +12,14 @@
 import org.quetzalshunt.core.log.Submission;
 import org.quetzalshunt.wire.record.ConfigurationRecordCodec;
 
-/** The configuration stream at this process: its fold, its proof of freshness, and changes put here. */
-final class ConfigurationHost {
+/**
+ * The configuration stream at this entry: applies its records to the configuration, tracks whether the configuration is
+ * fresh, submits changes and publishes checkpoints.
+ */
+final class ConfigurationStream {
     static final String STREAM = "configuration";
 
-    /** Half of the four seconds within which a change must be in force; the rest is for the change to travel. */
+    /** Half of the 4 s within which a change must be in force; the other half is for its propagation. */
     private static final long FRESHNESS_MILLIS = 2_000;
 
     private static final long COMMIT_MILLIS = 20;
@@ -27,7 +30,7 @@
     private final StreamSession session;
     private final CheckpointPublisher publisher;
 
-    ConfigurationHost(EntryClock clock, String writerId, long seed, LogTransport transport) {
+    ConfigurationStream(EntryClock clock, String writerId, long seed, LogTransport transport) {
         this.clock = clock;
         this.session = StreamSession.create(
                 STREAM, StreamSettings.tailing(COMMIT_MILLIS, seed), writerId, transport, configuration);
@@ -35,7 +38,7 @@
                 configuration,
                 session,
                 ConfigurationRecordCodec::encode,
-                CheckpointSchedule.create(LogRetention.MILLIS, seed),
+                CheckpointSchedule.create(LogRetention.ASSUMED_MILLIS, seed),
                 ConfigurationRecordCodec.MAXIMUM_STATE_PART_BYTES);
     }
 
@@ -58,8 +61,9 @@
     }
 
     /**
-     * Whether this process has read the stream to its end once and missed nothing since. Whether that is recent enough
-     * is freshness' to say: an append whose fate is unknown in an outage of the log is no reason to refuse callers.
+     * Whether this process has read the stream to its end at least once and has no gap in it. {@link #isFresh} states
+     * whether that is recent enough. Pending appends do not matter here: an append with an unknown result during a log
+     * outage is no reason to refuse callers.
      */
     boolean isReady() {
         return configuration.complete() && session.lastReadMillis().isPresent();
@@ -69,11 +73,11 @@
         return freshness.fresh(clock.now(), configuration.next());
     }
 
-    /** Appends a change; the callback hears what became of its record. */
-    void put(ConfigurationChange change, BiConsumer<Submission, Configuration> whenFolded) {
+    /** Submits a change; the callback receives the result of the submission and the configuration at that time. */
+    void submit(ConfigurationChange change, BiConsumer<Submission, Configuration> onResult) {
         session.submit(
                 clock.now(),
                 ConfigurationRecordCodec.encode(change),
-                submission -> whenFolded.accept(submission, configuration));
+                submission -> onResult.accept(submission, configuration));
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/Waiters.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/DuplicateRequests.java
@@ -9,24 +9,26 @@
 import org.quetzalshunt.core.result.Outcome;
 import org.quetzalshunt.core.result.Refusal;
 
-/** Re-sends that wait for the end of the request that they repeat. */
-final class Waiters {
-    private final Map<String, List<Consumer<Outcome<StoredAnswer>>>> waiting = new HashMap<>();
+/** Re-sent requests that wait for the result of the original request, which is still in progress. */
+final class DuplicateRequests {
+    private final Map<String, List<Consumer<Outcome<StoredAnswer>>>> waitersByRequestId = new HashMap<>();
 
     void add(String requestId, Consumer<Outcome<StoredAnswer>> waiter) {
-        waiting.computeIfAbsent(requestId, ignored -> new ArrayList<>()).add(waiter);
+        waitersByRequestId
+                .computeIfAbsent(requestId, ignored -> new ArrayList<>())
+                .add(waiter);
     }
 
-    void answered(String requestId, StoredAnswer answer) {
+    void onAnswer(String requestId, StoredAnswer answer) {
         finish(requestId, Outcome.success(answer));
     }
 
-    void refused(String requestId, Refusal refusal) {
+    void onRefusal(String requestId, Refusal refusal) {
         finish(requestId, Outcome.failure(refusal));
     }
 
     private void finish(String requestId, Outcome<StoredAnswer> outcome) {
-        List<Consumer<Outcome<StoredAnswer>>> waiters = waiting.remove(requestId);
+        List<Consumer<Outcome<StoredAnswer>>> waiters = waitersByRequestId.remove(requestId);
         if (waiters != null) {
             waiters.forEach(waiter -> waiter.accept(outcome));
         }
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryClock.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryClock.java
@@ -1,8 +1,8 @@
 package org.quetzalshunt.server.entry;
 
 /**
- * Milliseconds since the epoch that never go back: the wall clock is read once, and time since then is taken from the
- * monotonic clock, so that a step of the wall clock can't shorten a lease or pass a deadline.
+ * Clock of milliseconds since the epoch that never runs backwards. The wall clock is read once and the elapsed time is
+ * taken from the monotonic clock, so that a step of the wall clock cannot shorten a lease or skip a deadline.
  */
 final class EntryClock {
     private static final long NANOS_PER_MILLI = 1_000_000;
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryDump.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryDump.java
@@ -15,16 +15,16 @@
 import org.quetzalshunt.core.vm.VmId;
 import org.quetzalshunt.wire.json.Json;
 
-/** The tables of an entry as JSON: bounded in size, without keys and without what programs say. */
+/** Exports the state of an entry as JSON. The size is bounded, and keys and the contents of programs are left out. */
 final class EntryDump {
     private static final int MAXIMUM_ROWS = 1_000;
 
     private final VmId self;
     private final EntryClock clock;
     private final Membership membership;
-    private final ConfigurationHost configuration;
-    private final ShardHost shards;
-    private final LimitHost limits;
+    private final ConfigurationStream configurationStream;
+    private final ShardManager shards;
+    private final FleetRateLimiter rateLimiter;
     private final OwnerContext owner;
     private final OwnerRouter router;
 
@@ -32,22 +32,22 @@
             VmId self,
             EntryClock clock,
             Membership membership,
-            ConfigurationHost configuration,
-            ShardHost shards,
-            LimitHost limits,
+            ConfigurationStream configurationStream,
+            ShardManager shards,
+            FleetRateLimiter rateLimiter,
             OwnerContext owner,
             OwnerRouter router) {
         this.self = self;
         this.clock = clock;
         this.membership = membership;
-        this.configuration = configuration;
+        this.configurationStream = configurationStream;
         this.shards = shards;
-        this.limits = limits;
+        this.rateLimiter = rateLimiter;
         this.owner = owner;
         this.router = router;
     }
 
-    /** Everything, for {@code quetzalshunt dump}. */
+    /** The complete state, for {@code quetzalshunt dump}. */
     ObjectNode all() {
         ObjectNode root = Json.object();
         root.put("vm", self.name());
@@ -63,11 +63,11 @@
     }
 
     private ObjectNode configurationNode() {
-        ObjectNode node = stream(configuration.session());
-        node.put("complete", configuration.configuration().complete());
-        node.put("fresh", configuration.isFresh());
-        node.put("ageMillis", configuration.freshness().ageMillis(clock.now()));
-        node.put("invalidRecords", configuration.configuration().invalidRecords());
+        ObjectNode node = stream(configurationStream.session());
+        node.put("complete", configurationStream.configuration().complete());
+        node.put("fresh", configurationStream.isFresh());
+        node.put("ageMillis", configurationStream.freshness().ageMillis(clock.now()));
+        node.put("invalidRecords", configurationStream.configuration().invalidRecords());
         return node;
     }
 
@@ -80,7 +80,7 @@
                 .put("available", session.available());
     }
 
-    /** Entries as this one sees them, and the sidecars that are listed. */
+    /** The entries, with the state known to this entry, and the sidecars in the VM list. */
     ArrayNode vms() {
         ArrayNode array = Json.array();
         for (Member member : membership.entries()) {
@@ -132,18 +132,18 @@
         return array;
     }
 
-    /** A program as its caller sees it, with its account. */
+    /** A program as shown to its caller, with the client account added. */
     static ObjectNode program(ProgramView view) {
-        return ProgramBody.write(view).put("clientAccount", view.clientAccount());
+        return ProgramBody.toJson(view).put("clientAccount", view.clientAccount());
     }
 
     private ObjectNode work() {
-        Scheduler scheduler = owner.board().scheduler();
+        Scheduler scheduler = owner.workDispatcher().scheduler();
         ObjectNode node = Json.object();
         node.put("queued", scheduler.queued());
         node.put("running", scheduler.running());
         node.put("attempts", owner.attempts().running());
-        node.put("turnsUnderWay", owner.runs().size());
+        node.put("turnsUnderWay", owner.chatRuns().size());
         node.put("callsUnderWay", owner.callRuns().size());
         node.put("waitingForAnOwner", router.waitingRequests());
         node.put("passedOn", router.forwardedRequests());
@@ -152,10 +152,10 @@
         return node;
     }
 
-    /** Endpoints of one service as this entry sees them; all for an empty name. */
+    /** Endpoints of one service, with the state known to this entry; all endpoints if the name is empty. */
     ArrayNode endpoints(String service) {
         ArrayNode array = Json.array();
-        for (EndpointView view : owner.board().scheduler().endpoints()) {
+        for (EndpointView view : owner.workDispatcher().scheduler().endpoints()) {
             if (service.isEmpty() || view.service().equals(service)) {
                 array.addObject()
                         .put("name", view.name())
@@ -168,10 +168,10 @@
         return array;
     }
 
-    /** Queues of one service's client accounts; all for an empty name. */
+    /** Queues of the client accounts of one service; all accounts if the name is empty. */
     ArrayNode accounts(String service) {
         ArrayNode array = Json.array();
-        for (AccountView view : owner.board().scheduler().accounts()) {
+        for (AccountView view : owner.workDispatcher().scheduler().accounts()) {
             if (service.isEmpty() || view.service().equals(service)) {
                 array.addObject()
                         .put("service", view.service())
@@ -184,10 +184,10 @@
         return array;
     }
 
-    /** Parts of rate and burst that this entry holds. */
+    /** This entry's parts of the rate limits: those of one service, or all of them. */
     ArrayNode limitNodes(String service, boolean all) {
         ArrayNode array = Json.array();
-        for (LimitStatus status : limits.limits().status(clock.now())) {
+        for (LimitStatus status : rateLimiter.limits().status(clock.now())) {
             if (all || status.key().service().equals(service)) {
                 array.addObject()
                         .put("service", status.key().service())
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryMeasures.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryMetrics.java
@@ -11,35 +11,38 @@
 import org.quetzalshunt.core.program.TurnUsage;
 import org.quetzalshunt.core.result.Refusal;
 
-/** What an entry counts, in Prometheus' format. Labels are services, accounts and codes, all bounded by documents. */
-final class EntryMeasures {
+/**
+ * Metrics of an entry in the Prometheus format. The label values are result codes and accounts from service documents,
+ * so their number is bounded.
+ */
+final class EntryMetrics {
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final Timer turnLatency = Timer.builder("quetzalshunt.turn.latency")
             .description("from arrival to the durable end of a turn")
             .publishPercentiles(0.5, 0.95, 0.99)
             .register(registry);
-    private final Timer firstToken = Timer.builder("quetzalshunt.first.token")
+    private final Timer firstTokenLatency = Timer.builder("quetzalshunt.first.token")
             .description("from arrival to the first token")
             .publishPercentiles(0.5, 0.95, 0.99)
             .register(registry);
-    private final Counter recomputed = Counter.builder("quetzalshunt.prompt.tokens.recomputed")
+    private final Counter recomputedTokens = Counter.builder("quetzalshunt.prompt.tokens.recomputed")
             .description("tokens of a program's history that an engine computed again")
             .register(registry);
-    private final Counter completion = Counter.builder("quetzalshunt.completion.tokens")
+    private final Counter completionTokens = Counter.builder("quetzalshunt.completion.tokens")
             .description("tokens generated")
             .register(registry);
 
-    void turnEnded(TurnStart start, TurnUsage usage, long latencyMillis) {
+    void recordTurn(TurnStart start, TurnUsage usage, long latencyMillis) {
         turnLatency.record(Duration.ofMillis(latencyMillis));
-        completion.increment((double) usage.completionTokens());
-        recomputed.increment((double) Math.max(0, start.contextTokens() - usage.cachedTokens()));
+        completionTokens.increment((double) usage.completionTokens());
+        recomputedTokens.increment((double) Math.max(0, start.contextTokens() - usage.cachedTokens()));
     }
 
-    void firstToken(long millis) {
-        firstToken.record(Duration.ofMillis(millis));
+    void recordFirstToken(long millis) {
+        firstTokenLatency.record(Duration.ofMillis(millis));
     }
 
-    void refused(String clientAccount, Refusal refusal) {
+    void countRefusal(String clientAccount, Refusal refusal) {
         registry.counter(
                         "quetzalshunt.refusals",
                         "account",
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryProcess.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryProcess.java
@@ -27,45 +27,45 @@
 import org.quetzalshunt.wire.record.ShardRecords;
 import org.tinylog.Logger;
 
-/** One running entry: its event loop, its servers, its tables and its ticks. */
+/** One running entry: creates the event loop, the servers and the components, and runs the periodic work. */
 public final class EntryProcess {
-    private static final long SLOW_TICK_MILLIS = 100;
+    private static final long SLOW_TICK_INTERVAL_MILLIS = 100;
 
     private final EntrySettings settings;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EntryClock clock = new EntryClock();
     private final VmId self;
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
-    private HttpServer http;
-    private LinkServer links;
+    private HttpServer httpServer;
+    private LinkServer linkServer;
     private LinkConnector connector;
     private Membership membership;
-    private ConfigurationHost configuration;
-    private ShardHost shards;
+    private ConfigurationStream configurationStream;
+    private ShardManager shards;
     private Peers peers;
-    private AttemptBoard attempts;
-    private WorkBoard board;
+    private AttemptTracker attempts;
+    private WorkDispatcher workDispatcher;
     private OwnerRouter router;
     private OwnerContext owner;
-    private VmListPoller vmList;
-    private CallerApi callers;
-    private AdminApi admin;
-    private CacheKeeper caches;
-    private EntryLinks entryLinks;
-    private LimitHost limits;
+    private VmListPoller vmListPoller;
+    private CallerApi callerApi;
+    private AdminApi adminApi;
+    private CacheLeaseRenewer cacheLeaseRenewer;
+    private LinkEventHandler linkEventHandler;
+    private FleetRateLimiter rateLimiter;
     private OwnerService service;
-    private final Joining joining = new Joining(clock);
+    private final JoinPeriod joinPeriod = new JoinPeriod(clock);
     private Ticker ticker;
-    private long slowMillis;
+    private long lastSlowTickMillis;
     private boolean stopping;
-    private long stopDeadline;
+    private long stopDeadlineMillis;
 
     private EntryProcess(EntrySettings settings) {
         this.settings = settings;
         this.self = VmId.of(settings.vm(), settings.incarnation());
     }
 
-    /** Starts an entry; returns once it listens. It takes requests once {@code /readyz} says so. */
+    /** Starts an entry and returns once it listens. It accepts requests once {@code /readyz} answers 200. */
     public static EntryProcess start(EntrySettings settings) {
         EntryProcess process = new EntryProcess(settings);
         process.listen();
@@ -80,44 +80,45 @@
     private void listen() {
         LinkIdentity identity = new LinkIdentity(self, VmRole.ENTRY, settings.dataCentre());
         LinkSettings linkSettings = LinkSettings.of(identity, settings.secret());
-        LinkDispatcher dispatcher = new LinkDispatcher(this::onLink);
+        LinkEventAdapter linkListener = new LinkEventAdapter(this::onLink);
         InetSocketAddress httpAddress = new InetSocketAddress(settings.host(), settings.httpPort());
-        http = HttpServer.start(group, httpAddress, HttpLimits.defaults(), this::onRequest);
-        links = LinkServer.start(
-                group, new InetSocketAddress(settings.host(), settings.linkPort()), linkSettings, dispatcher);
-        connector = LinkConnector.create(group, linkSettings, dispatcher);
+        httpServer = HttpServer.start(group, httpAddress, HttpLimits.defaults(), this::onRequest);
+        linkServer = LinkServer.start(
+                group, new InetSocketAddress(settings.host(), settings.linkPort()), linkSettings, linkListener);
+        connector = LinkConnector.create(group, linkSettings, linkListener);
     }
 
     private void assemble() {
-        Vm selfVm = new Vm(self.name(), VmRole.ENTRY, settings.host(), links.port(), settings.dataCentre(), "", false);
+        Vm selfVm =
+                new Vm(self.name(), VmRole.ENTRY, settings.host(), linkServer.port(), settings.dataCentre(), "", false);
         HttpClient client = HttpClient.create(group);
         LogClient log = LogClient.create(client, List.of(settings.platform()), clock::now);
-        EntryMeasures measures = new EntryMeasures();
+        EntryMetrics metrics = new EntryMetrics();
         membership = Membership.create(self, selfVm, MembershipSettings.defaults());
-        configuration = new ConfigurationHost(clock, self.toString(), self.incarnation(), log);
-        log.attach(configuration.session());
-        attempts = new AttemptBoard(clock, self.incarnation());
-        board = new WorkBoard(
+        configurationStream = new ConfigurationStream(clock, self.toString(), self.incarnation(), log);
+        log.attach(configurationStream.session());
+        attempts = new AttemptTracker(clock, self.incarnation());
+        workDispatcher = new WorkDispatcher(
                 clock, Scheduler.create(SchedulerSettings.of(settings.dataCentre(), 1, self.incarnation())));
-        caches = new CacheKeeper(clock, board.scheduler(), attempts);
+        cacheLeaseRenewer = new CacheLeaseRenewer(clock, workDispatcher.scheduler(), attempts);
         owner = new OwnerContext(
                 clock,
-                configuration.configuration(),
-                board,
+                configurationStream.configuration(),
+                workDispatcher,
                 attempts,
                 new HashMap<>(),
                 new HashMap<>(),
-                new Waiters(),
-                measures,
-                program -> caches.programEnded(shards, program),
+                new DuplicateRequests(),
+                metrics,
+                program -> cacheLeaseRenewer.release(shards, program),
                 (request, sink) ->
-                        router.route(RequestShards.of(request, settings.shards()), request.passedOn(), sink));
+                        router.route(RequestShards.of(request, settings.shards()), request.withHopAdded(), sink));
         service = new OwnerService(owner, number -> shards.shard(number));
-        shards = new ShardHost(
+        shards = new ShardManager(
                 self,
                 clock,
                 membership,
-                joining,
+                joinPeriod,
                 settings.shards(),
                 settings.commitIntervalMillis(),
                 log,
@@ -125,78 +126,97 @@
                 service);
         shards.sessions().forEach(log::attach);
         router = new OwnerRouter(clock, self.name(), shards::ownerOf, service::handle);
-        peers = new Peers(self, clock, membership, configuration);
-        limits = new LimitHost(self, clock, configuration, membership, joining, peers.entryLinks());
-        entryLinks = new EntryLinks(
-                peers, attempts, board, router, request -> RequestShards.of(request, settings.shards()), clock, limits);
-        vmList = new VmListPoller(client, settings.platform(), clock, this::onVmList);
+        peers = new Peers(self, clock, membership, configurationStream);
+        rateLimiter =
+                new FleetRateLimiter(self, clock, configurationStream, membership, joinPeriod, peers.entryLinks());
+        linkEventHandler = new LinkEventHandler(
+                peers,
+                attempts,
+                workDispatcher,
+                router,
+                request -> RequestShards.of(request, settings.shards()),
+                clock,
+                rateLimiter);
+        vmListPoller = new VmListPoller(client, settings.platform(), clock, this::onVmList);
         RequestIds requestIds = new RequestIds(self.incarnation(), self.name());
-        callers = new CallerApi(
-                clock, configuration, limits, router, measures, requestIds, settings.shards(), () -> stopping);
-        EntryDump dump = new EntryDump(self, clock, membership, configuration, shards, limits, owner, router);
-        AdminStatus status = new AdminStatus(configuration.configuration(), membership, shards, dump);
-        admin = new AdminApi(clock, configuration, requestIds, settings.operatorKeyHashes(), status);
-        measures.gauge("quetzalshunt.work.queued", () -> board.scheduler().queued());
-        measures.gauge("quetzalshunt.work.running", () -> board.scheduler().running());
-        measures.gauge("quetzalshunt.shards.owned", () -> shards.ownedNumbers().size());
+        callerApi = new CallerApi(
+                clock,
+                configurationStream,
+                rateLimiter,
+                router,
+                metrics,
+                requestIds,
+                settings.shards(),
+                () -> stopping);
+        EntryDump dump =
+                new EntryDump(self, clock, membership, configurationStream, shards, rateLimiter, owner, router);
+        AdminStatus status = new AdminStatus(configurationStream.configuration(), membership, shards, dump);
+        adminApi = new AdminApi(clock, configurationStream, requestIds, settings.operatorKeyHashes(), status);
+        metrics.gauge(
+                "quetzalshunt.work.queued", () -> workDispatcher.scheduler().queued());
+        metrics.gauge(
+                "quetzalshunt.work.running", () -> workDispatcher.scheduler().running());
+        metrics.gauge("quetzalshunt.shards.owned", () -> shards.ownedNumbers().size());
         ticker = new Ticker(group.next(), this::tick, this::isBusy);
         ticker.start();
     }
 
     private boolean isBusy() {
-        return board.scheduler().queued() + board.scheduler().running() > 0
+        return workDispatcher.scheduler().queued() + workDispatcher.scheduler().running() > 0
                 || router.waitingRequests() > 0
                 || shards.hasBacklog()
-                || configuration.session().backlog() > 0
-                || limits.isWaiting();
+                || configurationStream.session().backlog() > 0
+                || rateLimiter.hasWaitingRequests();
     }
 
     private void tick() {
-        configuration.tick();
+        configurationStream.tick();
         shards.tick();
-        board.tick();
-        limits.tick();
+        workDispatcher.tick();
+        rateLimiter.tick();
         attempts.tick(clock.now());
-        if (clock.now() - slowMillis >= SLOW_TICK_MILLIS) {
-            slowMillis = clock.now();
+        if (clock.now() - lastSlowTickMillis >= SLOW_TICK_INTERVAL_MILLIS) {
+            lastSlowTickMillis = clock.now();
             slowTick();
         }
     }
 
     private void slowTick() {
-        vmList.tick();
+        vmListPoller.tick();
         peers.tick(attempts.links(), shards.ownedNumbers(), stopping);
         router.tick();
         service.tick();
-        caches.tick(shards);
+        cacheLeaseRenewer.tick(shards);
         if (stopping) {
-            tickStopping();
+            completeStopWhenIdle();
         }
     }
 
     private void onVmList(List<Vm> vms) {
         membership.onVmList(clock.now(), vms);
-        board.scheduler().entriesChanged(Math.max(1, membership.liveEntries().size()));
-        joining.vmsListed();
+        workDispatcher
+                .scheduler()
+                .entriesChanged(Math.max(1, membership.liveEntries().size()));
+        joinPeriod.onVmListRead();
         connector.want(peers.wantedAddresses());
     }
 
-    private void onLink(LinkDispatcher.Event event) {
-        if (entryLinks != null) {
-            entryLinks.handle(event);
+    private void onLink(LinkEventAdapter.Event event) {
+        if (linkEventHandler != null) {
+            linkEventHandler.handle(event);
             wakeForWork();
         }
     }
 
     private void onRequest(HttpExchange exchange) {
         String path = exchange.path();
-        if (callers == null) {
+        if (callerApi == null) {
             exchange.respondText(503, "starting\n");
-        } else if (CallerApi.takes(path)) {
-            callers.handle(exchange);
+        } else if (CallerApi.handles(path)) {
+            callerApi.handle(exchange);
             wakeForWork();
         } else if (path.startsWith(AdminApi.PREFIX)) {
-            admin.handle(exchange);
+            adminApi.handle(exchange);
             wakeForWork();
         } else {
             probe(exchange, path);
@@ -212,37 +232,37 @@
     private void probe(HttpExchange exchange, String path) {
         switch (path) {
             case "/healthz" -> exchange.respondText(200, "ok\n");
-            case "/readyz" -> ready(exchange, isReady());
-            case "/metrics" -> exchange.respondText(200, owner.measures().scrape());
+            case "/readyz" -> respondReady(exchange, isReady());
+            case "/metrics" -> exchange.respondText(200, owner.metrics().scrape());
             default -> exchange.respondText(404, "no such path\n");
         }
     }
 
-    private static void ready(HttpExchange exchange, boolean ready) {
+    private static void respondReady(HttpExchange exchange, boolean ready) {
         exchange.respondText(ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
     }
 
     private boolean isReady() {
         return !stopping
-                && configuration.isReady()
-                && configuration.isFresh()
-                && vmList.readOnce()
-                && limits.isServing();
+                && configurationStream.isReady()
+                && configurationStream.isFresh()
+                && vmListPoller.hasReadList()
+                && rateLimiter.isServing();
     }
 
     /** Port for callers and operators. */
     public int httpPort() {
-        return http.port();
+        return httpServer.port();
     }
 
     /** Port for other entries. */
     public int linkPort() {
-        return links.port();
+        return linkServer.port();
     }
 
     /**
-     * Planned stop: refuses new requests, hands the shards over, lets every answer finish, ends in a bounded time. The
-     * future completes when the process may end.
+     * Starts a planned stop: refuses new requests, hands over the shards and waits, for a bounded time, until all
+     * responses are finished. The future completes when the process may exit.
      */
     public CompletableFuture<Void> stop() {
         group.next().execute(() -> {
@@ -250,35 +270,36 @@
                 return;
             }
             Logger.info(
-                    "stopping: {} shards to hand over", shards.ownedNumbers().size());
+                    "stopping, {} shards to hand over", shards.ownedNumbers().size());
             stopping = true;
-            stopDeadline = clock.now() + settings.stopMillis();
+            stopDeadlineMillis = clock.now() + settings.stopMillis();
             shards.leave();
-            limits.leave();
+            rateLimiter.leave();
         });
         return stopped;
     }
 
-    private void tickStopping() {
-        boolean idle = shards.isEmpty()
-                && owner.runs().isEmpty()
+    private void completeStopWhenIdle() {
+        boolean idle = shards.ownsNoShard()
+                && owner.chatRuns().isEmpty()
                 && owner.callRuns().isEmpty()
                 && router.forwardedRequests() == 0
                 && router.waitingRequests() == 0
-                && (limits.limits().handedOver() || membership.liveEntries().size() <= 1);
-        if (idle || clock.now() > stopDeadline) {
-            Logger.info("stopped, everything finished: {}", idle);
+                && (rateLimiter.limits().handedOver()
+                        || membership.liveEntries().size() <= 1);
+        if (idle || clock.now() > stopDeadlineMillis) {
+            Logger.info("stopped, all requests and handovers finished: {}", idle);
             kill();
             stopped.complete(null);
         }
     }
 
-    /** Ends at once, as a crash would: nothing is handed over and no answer is finished. */
+    /** Stops at once, as in a crash: shards are not handed over and responses in progress are cut off. */
     public void kill() {
-        // The connections belong to the event loop; closing them from another thread would miss some of them.
+        // Runs on the event loop, which owns the connections; another thread could miss some of them.
         group.next().execute(() -> {
-            http.close();
-            links.close();
+            httpServer.close();
+            linkServer.close();
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
         });
     }
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntrySettings.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntrySettings.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 
 /**
- * Settings of an entry, checked before.
+ * Validated settings of an entry.
  *
  * @param vm name of the VM
- * @param incarnation start time in milliseconds, larger at each start
- * @param dataCentre where it is
- * @param host IP number to bind
- * @param httpPort port for callers and operators; 0 for any
- * @param linkPort port for other entries; 0 for any
+ * @param incarnation start time of the process in milliseconds, which is larger at each start
+ * @param dataCentre data centre of the VM
+ * @param host IP address to bind
+ * @param httpPort port for callers and operators; 0 for any free port
+ * @param linkPort port for other entries; 0 for any free port
  * @param platform address of the platform's services
  * @param secret shared secret of the deployment
- * @param shards number of shards, equal at all entries
- * @param commitIntervalMillis time for which records of a shard are gathered into one append
- * @param operatorKeyHashes SHA-256 of an operator's key, in hex, to the team that it stands for
- * @param stopMillis longest time of a planned stop
+ * @param shards number of shards; must be the same at all entries
+ * @param commitIntervalMillis interval at which the records of a shard are batched into one append
+ * @param operatorKeyHashes maps the SHA-256 of each operator key, in hex, to the operator's team
+ * @param stopMillis time limit for a planned stop
  */
 public record EntrySettings(
         String vm,
@@ -32,6 +32,6 @@
         long commitIntervalMillis,
         Map<String, String> operatorKeyHashes,
         long stopMillis) {
-    /** Shards of a deployment that sets none: a few for each entry, few enough for the cap on appends. */
+    /** Default number of shards: several for each entry, yet few enough for the limit on the rate of appends. */
     public static final int DEFAULT_SHARDS = 16;
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/LimitHost.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/FleetRateLimiter.java
@@ -24,33 +24,36 @@
 import org.quetzalshunt.server.transport.PeerLink;
 import org.quetzalshunt.wire.message.LimitMessageCodec;
 
-/** The fleet-wide limits at this entry: fed by documents, generations and peers, asked by the callers' interface. */
-final class LimitHost implements RateGate {
+/**
+ * Fleet-wide rate limits at this entry. Passes document changes, limit generations and messages of other entries to
+ * {@link FleetLimits}, and admits or refuses callers' requests.
+ */
+final class FleetRateLimiter implements RateLimiter {
     private final EntryClock clock;
-    private final ConfigurationHost configuration;
+    private final ConfigurationStream configurationStream;
     private final Membership membership;
-    private final Joining joining;
+    private final JoinPeriod joinPeriod;
     private final Map<String, PeerLink> links;
     private final FleetLimits limits;
-    private final Set<AccountKey> known = new HashSet<>();
-    private boolean changed;
-    private int waiting;
+    private final Set<AccountKey> knownAccounts = new HashSet<>();
+    private boolean membersChanged;
+    private int waitingRequests;
 
-    LimitHost(
+    FleetRateLimiter(
             VmId self,
             EntryClock clock,
-            ConfigurationHost configuration,
+            ConfigurationStream configurationStream,
             Membership membership,
-            Joining joining,
+            JoinPeriod joinPeriod,
             Map<String, PeerLink> links) {
         this.clock = clock;
-        this.configuration = configuration;
+        this.configurationStream = configurationStream;
         this.membership = membership;
-        this.joining = joining;
+        this.joinPeriod = joinPeriod;
         this.links = links;
         this.limits = FleetLimits.create(self, LimitSettings.defaults(), LimitPort.of(this::send, this::propose));
-        configuration.configuration().onChange(() -> configurationChanged(configuration.configuration()));
-        membership.onChange(() -> changed = true);
+        configurationStream.configuration().onChange(() -> configurationChanged(configurationStream.configuration()));
+        membership.onChange(() -> membersChanged = true);
     }
 
     private void send(String vm, LimitMessage message) {
@@ -61,33 +64,38 @@
     }
 
     private void propose(LimitGenerationProposal proposal) {
-        configuration.put(new LimitGenerationChange(proposal.record(), clock.now()), (submission, folded) -> {});
+        configurationStream.submit(
+                new LimitGenerationChange(proposal.record(), clock.now()), (submission, configuration) -> {});
     }
 
-    private void configurationChanged(Configuration folded) {
-        folded.limitGeneration().ifPresent(this::generation);
+    private void configurationChanged(Configuration configuration) {
+        configuration.limitGeneration().ifPresent(this::applyGeneration);
         Set<AccountKey> present = new HashSet<>();
-        for (VersionedDocument document : folded.documents()) {
+        for (VersionedDocument document : configuration.documents()) {
             document.document().ifPresent(value -> value.accounts().forEach(account -> {
                 AccountKey key = new AccountKey(document.service(), account.name());
                 present.add(key);
-                inForce(key, account, document.version());
+                applyAccount(key, account, document.version());
             }));
         }
-        for (AccountKey gone : Set.copyOf(known)) {
-            if (!present.contains(gone)) {
-                limits.removed(clock.now(), gone.service(), gone.account(), folded.currentVersion(gone.service()));
+        for (AccountKey removed : Set.copyOf(knownAccounts)) {
+            if (!present.contains(removed)) {
+                limits.removed(
+                        clock.now(),
+                        removed.service(),
+                        removed.account(),
+                        configuration.currentVersion(removed.service()));
             }
         }
-        known.addAll(present);
+        knownAccounts.addAll(present);
     }
 
-    private void inForce(AccountKey key, ClientAccount account, long version) {
+    private void applyAccount(AccountKey key, ClientAccount account, long version) {
         limits.documentChanged(
                 clock.now(), key.service(), key.account(), account.requestsPerSecond(), account.burst(), version);
     }
 
-    private void generation(LimitGenerationState state) {
+    private void applyGeneration(LimitGenerationState state) {
         if (state.offset() <= limits.generationOffset()) {
             return;
         }
@@ -103,11 +111,11 @@
     }
 
     void tick() {
-        if (changed && joining.isOver()) {
-            changed = false;
+        if (membersChanged && joinPeriod.isOver()) {
+            membersChanged = false;
             limits.membersChanged(clock.now(), membership.entries());
         }
-        configuration.session().lastReadMillis().ifPresent(sent -> limits.onLogRead(clock.now(), sent));
+        configurationStream.session().lastReadMillis().ifPresent(sent -> limits.onLogRead(clock.now(), sent));
         limits.tick(clock.now());
     }
 
@@ -115,14 +123,14 @@
         limits.leaving(clock.now());
     }
 
-    /** Whether this entry can have tokens at all: before, it would refuse requests that are within their rate. */
+    /** Whether this entry may use tokens. Until then it would refuse requests that are within their rate. */
     boolean isServing() {
         return limits.isMember() && limits.holdsLease(clock.now());
     }
 
-    /** Whether requests wait for tokens of other entries. */
-    boolean isWaiting() {
-        return waiting > 0;
+    /** Whether requests are waiting for tokens from other entries. */
+    boolean hasWaitingRequests() {
+        return waitingRequests > 0;
     }
 
     FleetLimits limits() {
@@ -130,25 +138,26 @@
     }
 
     @Override
-    public void admit(String service, String clientAccount, Runnable admitted, Consumer<Refusal> refused) {
+    public void admit(String service, String clientAccount, Runnable onAdmitted, Consumer<Refusal> onRefused) {
         Take take = limits.take(clock.now(), service, clientAccount, outcome -> {
-            waiting--;
-            if (outcome instanceof TakeOutcome.Refused late) {
-                refused.accept(refusal(service, late.retryAfterMillis()));
+            waitingRequests--;
+            if (outcome instanceof TakeOutcome.Refused timedOut) {
+                onRefused.accept(refusal(service, timedOut.retryAfterMillis()));
             } else {
-                admitted.run();
+                onAdmitted.run();
             }
         });
         if (take instanceof Take.Waiting) {
-            waiting++;
+            waitingRequests++;
         } else if (take instanceof Take.Taken) {
-            admitted.run();
-        } else if (take instanceof Take.Refused full) {
-            refused.accept(refusal(service, full.retryAfterMillis()));
+            onAdmitted.run();
+        } else if (take instanceof Take.Refused refusedNow) {
+            onRefused.accept(refusal(service, refusedNow.retryAfterMillis()));
         }
     }
 
     private static Refusal refusal(String service, long retryAfterMillis) {
-        return Refusal.notRunRetryAfter(ResultCode.RATE_EXCEEDED, "at service " + service, retryAfterMillis);
+        return Refusal.notRunRetryAfter(
+                ResultCode.RATE_EXCEEDED, "rate limit of the account for service " + service, retryAfterMillis);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/ForwardSink.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ForwardSink.java
@@ -11,20 +11,20 @@
 import org.quetzalshunt.wire.generated.ForwardHead;
 import org.quetzalshunt.wire.generated.Message;
 
-/** The owner's way to a caller whose connection another entry holds. */
+/** Sends the response to a forwarded request over a link to the entry that has the caller's connection. */
 final class ForwardSink implements ResponseSink {
     private final PeerLink link;
     private final long exchange;
-    private final Runnable whenFinished;
+    private final Runnable onFinished;
     private final List<Runnable> closeActions = new ArrayList<>();
     private int sequence;
     private boolean started;
     private boolean finished;
 
-    ForwardSink(PeerLink link, long exchange, Runnable whenFinished) {
+    ForwardSink(PeerLink link, long exchange, Runnable onFinished) {
         this.link = link;
         this.exchange = exchange;
-        this.whenFinished = whenFinished;
+        this.onFinished = onFinished;
     }
 
     @Override
@@ -60,22 +60,22 @@
         finish(false);
     }
 
-    private void finish(boolean whole) {
+    private void finish(boolean complete) {
         if (finished) {
             return;
         }
         finished = true;
-        link.send(Message.forwardEnd(new ForwardEnd(exchange, sequence, whole)));
-        whenFinished.run();
+        link.send(Message.forwardEnd(new ForwardEnd(exchange, sequence, complete)));
+        onFinished.run();
     }
 
-    /** The entry at the other end is gone, or says that its caller is. */
-    void closed() {
+    /** The link to the forwarding entry closed, or that entry reported that its caller disconnected. */
+    void onPeerClosed() {
         if (finished) {
             return;
         }
         finished = true;
-        whenFinished.run();
+        onFinished.run();
         closeActions.forEach(Runnable::run);
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/entry/Heartbeats.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/HeartbeatCodec.java
@@ -5,11 +5,11 @@
 import org.quetzalshunt.wire.generated.Heartbeat;
 import org.quetzalshunt.wire.generated.HeartbeatWord;
 
-/** Heartbeats to and from their Thrift form: a VM's own word, with words about others that ride on it. */
-final class Heartbeats {
-    private Heartbeats() {}
+/** Converts heartbeats to and from Thrift: a VM's own state, with a digest of the states of other VMs. */
+final class HeartbeatCodec {
+    private HeartbeatCodec() {}
 
-    static Heartbeat write(HeartbeatNews own, List<HeartbeatNews> digest, long sentMillis) {
+    static Heartbeat encode(HeartbeatNews own, List<HeartbeatNews> digest, long sentMillis) {
         Heartbeat heartbeat = new Heartbeat(
                 own.vm(),
                 own.incarnation(),
@@ -19,11 +19,12 @@
                 own.ownedShards(),
                 sentMillis);
         heartbeat.setBeat(own.beat());
-        heartbeat.setDigest(digest.stream().map(Heartbeats::word).toList());
+        heartbeat.setDigest(
+                digest.stream().map(HeartbeatCodec::encodeDigestEntry).toList());
         return heartbeat;
     }
 
-    private static HeartbeatWord word(HeartbeatNews news) {
+    private static HeartbeatWord encodeDigestEntry(HeartbeatNews news) {
         return new HeartbeatWord(
                 news.vm(),
                 news.incarnation(),
@@ -34,8 +35,8 @@
                 news.ownedShards());
     }
 
-    /** The sender's own word; name and incarnation are those that its link proved. */
-    static HeartbeatNews own(String vm, long incarnation, Heartbeat heartbeat) {
+    /** The sender's own state. Name and incarnation are passed in, as authenticated by the link. */
+    static HeartbeatNews decodeOwn(String vm, long incarnation, Heartbeat heartbeat) {
         return new HeartbeatNews(
                 vm,
                 incarnation,
@@ -46,7 +47,7 @@
                 heartbeat.getOwnedShards() == null ? List.of() : heartbeat.getOwnedShards());
     }
 
-    static List<HeartbeatNews> digest(Heartbeat heartbeat) {
+    static List<HeartbeatNews> decodeDigest(Heartbeat heartbeat) {
         if (heartbeat.getDigest() == null) {
             return List.of();
         }
--- a/server/src/main/java/org/quetzalshunt/server/entry/LinkDispatcher.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/LinkEventAdapter.java
@@ -6,20 +6,20 @@
 import org.quetzalshunt.server.transport.PeerLink;
 import org.quetzalshunt.wire.generated.Message;
 
-/** Turns what links report into events for one consumer. */
-final class LinkDispatcher implements LinkListener {
+/** Converts the callbacks of links to events for one consumer. */
+final class LinkEventAdapter implements LinkListener {
     enum Kind {
         OPENED,
         MESSAGE,
         CLOSED
     }
 
-    /** Something that happened on a link; a message is there only for {@link Kind#MESSAGE}. */
+    /** An event on a link; the message is present only for {@link Kind#MESSAGE}. */
     record Event(Kind kind, PeerLink link, Optional<Message> message) {}
 
     private final Consumer<Event> consumer;
 
-    LinkDispatcher(Consumer<Event> consumer) {
+    LinkEventAdapter(Consumer<Event> consumer) {
         this.consumer = consumer;
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryLinks.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/LinkEventHandler.java
@@ -10,50 +10,50 @@
 import org.quetzalshunt.wire.generated.Message;
 import org.quetzalshunt.wire.message.LimitMessageCodec;
 
-/** What an entry does with each event on its links. */
-final class EntryLinks {
+/** Dispatches the events on an entry's links, from sidecars and other entries, to the components that handle them. */
+final class LinkEventHandler {
     private final Peers peers;
-    private final AttemptBoard attempts;
-    private final WorkBoard board;
+    private final AttemptTracker attempts;
+    private final WorkDispatcher workDispatcher;
     private final OwnerRouter router;
-    private final ShardOfRequest shardOf;
+    private final ShardOfRequest shardOfRequest;
     private final EntryClock clock;
-    private final LimitHost limits;
+    private final FleetRateLimiter rateLimiter;
     private final Map<PeerLink, Map<Long, ForwardSink>> sinks = new HashMap<>();
 
-    /** Works out the shard of a request that another entry passed on. */
+    /** Determines the shard of a request that another entry forwarded. */
     @FunctionalInterface
     interface ShardOfRequest {
         int shardOf(OwnerRequest request);
     }
 
-    EntryLinks(
+    LinkEventHandler(
             Peers peers,
-            AttemptBoard attempts,
-            WorkBoard board,
+            AttemptTracker attempts,
+            WorkDispatcher workDispatcher,
             OwnerRouter router,
-            ShardOfRequest shardOf,
+            ShardOfRequest shardOfRequest,
             EntryClock clock,
-            LimitHost limits) {
-        this.limits = limits;
+            FleetRateLimiter rateLimiter) {
+        this.rateLimiter = rateLimiter;
         this.peers = peers;
         this.attempts = attempts;
-        this.board = board;
+        this.workDispatcher = workDispatcher;
         this.router = router;
-        this.shardOf = shardOf;
+        this.shardOfRequest = shardOfRequest;
         this.clock = clock;
     }
 
-    void handle(LinkDispatcher.Event event) {
+    void handle(LinkEventAdapter.Event event) {
         PeerLink link = event.link();
         switch (event.kind()) {
-            case OPENED -> opened(link);
-            case CLOSED -> closed(link);
-            case MESSAGE -> event.message().ifPresent(message -> message(link, message));
+            case OPENED -> onOpened(link);
+            case CLOSED -> onClosed(link);
+            case MESSAGE -> event.message().ifPresent(message -> onMessage(link, message));
         }
     }
 
-    private void opened(PeerLink link) {
+    private void onOpened(PeerLink link) {
         peers.linkOpened(link);
         if (link.remote().role() == VmRole.SIDECAR) {
             attempts.linkOpened(link);
@@ -62,23 +62,23 @@
         }
     }
 
-    private void closed(PeerLink link) {
+    private void onClosed(PeerLink link) {
         peers.linkClosed(link);
         if (link.remote().role() == VmRole.SIDECAR) {
             attempts.linkClosed(link);
             if (attempts.link(link.remote().id().name()).isEmpty()) {
-                board.scheduler().endpointRemoved(link.remote().id().name());
+                workDispatcher.scheduler().endpointRemoved(link.remote().id().name());
             }
             return;
         }
         router.linkClosed(link);
-        Map<Long, ForwardSink> broken = sinks.remove(link);
-        if (broken != null) {
-            broken.values().stream().toList().forEach(ForwardSink::closed);
+        Map<Long, ForwardSink> sinksOfLink = sinks.remove(link);
+        if (sinksOfLink != null) {
+            sinksOfLink.values().stream().toList().forEach(ForwardSink::onPeerClosed);
         }
     }
 
-    private void message(PeerLink link, Message message) {
+    private void onMessage(PeerLink link, Message message) {
         if (link.remote().role() == VmRole.SIDECAR) {
             fromSidecar(link, message);
         } else {
@@ -91,13 +91,13 @@
             case ATTEMPT_HEAD -> attempts.onHead(message.getAttemptHead());
             case ATTEMPT_CHUNK -> attempts.onChunk(message.getAttemptChunk());
             case ATTEMPT_END -> attempts.onEnd(message.getAttemptEnd());
-            case ENDPOINT_REPORT -> report(link, message.getEndpointReport());
+            case ENDPOINT_REPORT -> onEndpointReport(link, message.getEndpointReport());
             default -> {}
         }
     }
 
-    private void report(PeerLink link, EndpointReport report) {
-        board.endpointReported(new EndpointState(
+    private void onEndpointReport(PeerLink link, EndpointReport report) {
+        workDispatcher.endpointReported(new EndpointState(
                 link.remote().id().name(),
                 report.getServiceName(),
                 link.remote().dataCentre(),
@@ -113,20 +113,21 @@
     private void fromEntry(PeerLink link, Message message) {
         switch (message.getSetField()) {
             case HEARTBEAT -> peers.onHeartbeat(link, message.getHeartbeat());
-            case FORWARD_REQUEST -> forwarded(link, message.getForwardRequest());
-            case FORWARD_CANCEL -> cancelled(link, message.getForwardCancel().getExchange());
+            case FORWARD_REQUEST -> onForwardRequest(link, message.getForwardRequest());
+            case FORWARD_CANCEL ->
+                onForwardCancel(link, message.getForwardCancel().getExchange());
             case FORWARD_HEAD -> router.onHead(message.getForwardHead());
             case FORWARD_CHUNK -> router.onChunk(message.getForwardChunk());
             case FORWARD_END -> router.onEnd(message.getForwardEnd());
-            default -> LimitMessageCodec.read(message).ifPresent(limit -> limits.onMessage(link, limit));
+            default -> LimitMessageCodec.read(message).ifPresent(limit -> rateLimiter.onMessage(link, limit));
         }
     }
 
-    private void forwarded(PeerLink link, ForwardRequest forward) {
+    private void onForwardRequest(PeerLink link, ForwardRequest forward) {
         long exchange = forward.getExchange();
-        Map<Long, ForwardSink> ofLink = sinks.computeIfAbsent(link, ignored -> new HashMap<>());
-        ForwardSink sink = new ForwardSink(link, exchange, () -> ofLink.remove(exchange));
-        ofLink.put(exchange, sink);
+        Map<Long, ForwardSink> sinksOfLink = sinks.computeIfAbsent(link, ignored -> new HashMap<>());
+        ForwardSink sink = new ForwardSink(link, exchange, () -> sinksOfLink.remove(exchange));
+        sinksOfLink.put(exchange, sink);
         OwnerRequest request = new OwnerRequest(
                 forward.getRequestId(),
                 forward.getClientAccount(),
@@ -136,14 +137,14 @@
                 forward.getBody(),
                 clock.now() + forward.getRemainingMillis(),
                 forward.getHops());
-        router.route(shardOf.shardOf(request), request, sink);
+        router.route(shardOfRequest.shardOf(request), request, sink);
     }
 
-    private void cancelled(PeerLink link, long exchange) {
-        Map<Long, ForwardSink> ofLink = sinks.get(link);
-        ForwardSink sink = ofLink == null ? null : ofLink.get(exchange);
+    private void onForwardCancel(PeerLink link, long exchange) {
+        Map<Long, ForwardSink> sinksOfLink = sinks.get(link);
+        ForwardSink sink = sinksOfLink == null ? null : sinksOfLink.get(exchange);
         if (sink != null) {
-            sink.closed();
+            sink.onPeerClosed();
         }
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/LogRetention.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/LogRetention.java
@@ -1,12 +1,12 @@
 package org.quetzalshunt.server.entry;
 
-/** What the entries take the log's retention to be. */
+/** Retention of the log that the entries assume when they schedule checkpoints. */
 final class LogRetention {
     /**
-     * Sets how often state is published anew: at least four times in this span, in milliseconds. Where the log keeps
-     * records for less, processes see it drop what their newest checkpoint needs, and publish at once.
+     * At least four checkpoints are published in this time. If the log's actual retention is shorter, processes notice
+     * that it has dropped records that are not covered by their newest checkpoint, and publish one at once.
      */
-    static final long MILLIS = 3_600_000;
+    static final long ASSUMED_MILLIS = 3_600_000;
 
     private LogRetention() {}
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/OwnerContext.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/OwnerContext.java
@@ -9,57 +9,58 @@
 import org.quetzalshunt.server.http.ResponseSink;
 
 /**
- * What runs at the owner share.
+ * Components shared by the turns and calls in progress at the owner of a shard.
  *
- * @param clock this process's time
- * @param configuration documents in force
- * @param board work that waits or runs
- * @param attempts attempts at sidecars
- * @param runs turns under way by request id
- * @param callRuns calls under way by request id
- * @param waiters re-sends of what is under way
- * @param measures what is counted
- * @param programEnder frees what is held for a program that ended
- * @param rerouter brings a request to the present owner of its shard
+ * @param clock clock of this process
+ * @param configuration configuration in force
+ * @param workDispatcher queued and running work
+ * @param attempts attempts in progress at sidecars
+ * @param chatRuns turns in progress, by request id
+ * @param callRuns calls in progress, by request id
+ * @param duplicateRequests re-sends that wait for a request in progress
+ * @param metrics metrics of this entry
+ * @param cacheReleaser releases the cached prefix of a program at the endpoint that ran its last turn
+ * @param rerouter routes a request to the current owner of its shard
  */
 record OwnerContext(
         EntryClock clock,
         Configuration configuration,
-        WorkBoard board,
-        AttemptBoard attempts,
-        Map<String, ChatRun> runs,
+        WorkDispatcher workDispatcher,
+        AttemptTracker attempts,
+        Map<String, ChatRun> chatRuns,
         Map<String, CallRun> callRuns,
-        Waiters waiters,
-        EntryMeasures measures,
-        Consumer<String> programEnder,
+        DuplicateRequests duplicateRequests,
+        EntryMetrics metrics,
+        Consumer<String> cacheReleaser,
         BiConsumer<OwnerRequest, ResponseSink> rerouter) {
 
     /**
-     * Tells a refusal, or, where it only says that the shard is another entry's now, brings the request there. Its
-     * idempotency key keeps it from running twice, and the caller need not know who owns what.
+     * Sends an error, or, if another entry now owns the shard, routes the request there instead. The request's
+     * idempotency key prevents it from running twice, and callers do not need to know which entry owns a shard.
      */
     void refuse(OwnerRequest request, ResponseSink sink, Refusal refusal) {
         if (refusal.code() == ResultCode.NOT_OWNER && !sink.started()) {
             rerouter.accept(request, sink);
             return;
         }
-        measures.refused(request.clientAccount(), refusal);
-        Answers.refuse(sink, refusal, request.requestId());
+        metrics.countRefusal(request.clientAccount(), refusal);
+        CallerResponses.sendError(sink, refusal, request.requestId());
     }
 
-    /** A program's next turn goes to an endpoint: what another one holds for it is let go. */
-    void programMoved(String program, String endpoint) {
-        boolean moved = board.scheduler()
+    /** Releases a program's cached prefix at its former endpoint if its next turn is dispatched to another one. */
+    void releaseFormerCache(String program, String endpoint) {
+        boolean isMoved = workDispatcher
+                .scheduler()
                 .cachedAt(program)
-                .filter(held -> !held.equals(endpoint))
+                .filter(former -> !former.equals(endpoint))
                 .isPresent();
-        if (moved) {
-            programEnder.accept(program);
+        if (isMoved) {
+            cacheReleaser.accept(program);
         }
     }
 
-    void programEnded(String program) {
-        programEnder.accept(program);
-        board.scheduler().cacheForgotten(program);
+    void onProgramEnded(String program) {
+        cacheReleaser.accept(program);
+        workDispatcher.scheduler().cacheForgotten(program);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/OwnerRequest.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/OwnerRequest.java
@@ -5,16 +5,17 @@
 import java.util.Optional;
 
 /**
- * A request on its way to the owner of its shard: with the account that its key stood for, without the key.
+ * A request to be handled by the owner of its shard. It carries the client account that the key belongs to, but not the
+ * key.
  *
- * @param requestId id given by the entry that took it
- * @param clientAccount account of the key
+ * @param requestId id assigned by the entry that received the request
+ * @param clientAccount account that the key belongs to
  * @param method HTTP method
  * @param path path with query
- * @param headers headers that matter to the owner or the endpoint, by lower-case name
- * @param body body as it came
- * @param deadlineMillis when an answer is of no more use, on this VM's clock
- * @param hops entries that passed it on
+ * @param headers headers for the owner or the endpoint, by lower-case name
+ * @param body unchanged body
+ * @param deadlineMillis time by which the response is due, on this VM's clock
+ * @param hops number of times that the request was forwarded
  */
 record OwnerRequest(
         String requestId,
@@ -30,12 +31,12 @@
         return Optional.ofNullable(headers.get(name));
     }
 
-    /** Key under which the request runs at most once: the caller's, or one made of the request's own id. */
+    /** Key under which the request runs at most once: the caller's, or one derived from the request id. */
     String idempotencyKey() {
         return header(CallerHeaders.IDEMPOTENCY_KEY).orElse("request:" + requestId);
     }
 
-    boolean hasCallersKey() {
+    boolean hasCallerIdempotencyKey() {
         return headers.containsKey(CallerHeaders.IDEMPOTENCY_KEY);
     }
 
@@ -45,7 +46,7 @@
         return new OwnerRequest(requestId, clientAccount, method, path, changed, body, deadlineMillis, hops);
     }
 
-    OwnerRequest passedOn() {
+    OwnerRequest withHopAdded() {
         return new OwnerRequest(requestId, clientAccount, method, path, headers, body, deadlineMillis, hops + 1);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/OwnerRouter.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/OwnerRouter.java
@@ -21,79 +21,83 @@
 import org.quetzalshunt.wire.generated.Message;
 
 /**
- * Brings requests to the owner of their shard: here, or over a link to another entry.
+ * Routes requests to the owner of their shard: to this entry, or over a link to another entry.
  *
- * <p>Every request carries an idempotency key, the caller's or its own id. So when a link breaks before an answer
- * began, the request is brought to whoever owns the shard then, who finds out by the key whether it ran.
+ * <p>Every request has an idempotency key, either the caller's or one derived from the request id. If a link breaks
+ * before the response has begun, the request is therefore routed again to the current owner, which recognises by the
+ * key whether it has already run.
  */
 final class OwnerRouter {
-    /** Entries that pass a request on; more would be two entries that take each other for the owner. */
+    /** Limit on forwarding, for the case that two entries each consider the other one the owner. */
     private static final int MAXIMUM_HOPS = 4;
 
-    /** Time for a takeover after a crash: the lease, a claim, and room for a slow log. */
+    /** Time for a takeover after a crash: the detection of the crash, the claim, and a margin for a slow log. */
     private static final long WAIT_FOR_OWNER_MILLIS = 10_000;
 
-    /** The owner answers at the deadline itself; this much later its answer is not coming. */
+    /** The owner answers by the deadline itself; after this margin, no response is expected any more. */
     private static final long OWNER_GRACE_MILLIS = 3_000;
 
     private final EntryClock clock;
     private final IntFunction<Optional<String>> ownerOf;
     private final String self;
-    private final LocalOwner local;
+    private final LocalHandler localHandler;
     private final Map<String, PeerLink> links = new HashMap<>();
-    private final Long2ObjectHashMap<Forwarded> forwarded = new Long2ObjectHashMap<>();
-    private final List<Routed> waiting = new ArrayList<>();
+    private final Long2ObjectHashMap<ForwardedRequest> forwarded = new Long2ObjectHashMap<>();
+    private final List<PendingRoute> waiting = new ArrayList<>();
     private long nextExchange = 1;
 
-    /** Handles a request at the owner. */
+    /** Handles a request whose shard is owned by this entry. */
     @FunctionalInterface
-    interface LocalOwner {
+    interface LocalHandler {
         void handle(int shard, OwnerRequest request, ResponseSink sink);
     }
 
-    OwnerRouter(EntryClock clock, String self, IntFunction<Optional<String>> ownerOf, LocalOwner local) {
+    OwnerRouter(EntryClock clock, String self, IntFunction<Optional<String>> ownerOf, LocalHandler localHandler) {
         this.clock = clock;
         this.self = self;
         this.ownerOf = ownerOf;
-        this.local = local;
+        this.localHandler = localHandler;
     }
 
-    /** Brings a request to its owner, waiting for one when there is none just now. */
+    /** Routes a request to the owner of its shard; if there is none at present, it waits for one. */
     void route(int shard, OwnerRequest request, ResponseSink sink) {
-        Routed routed = new Routed(shard, request, sink, clock.now());
-        if (!tryRoute(routed)) {
-            waiting.add(routed);
+        PendingRoute pending = new PendingRoute(shard, request, sink, clock.now());
+        if (!tryRoute(pending)) {
+            waiting.add(pending);
         }
     }
 
-    private boolean tryRoute(Routed routed) {
-        if (routed.sink.finished()) {
+    private boolean tryRoute(PendingRoute pending) {
+        if (pending.sink.finished()) {
             return true;
         }
-        Optional<String> owner = ownerOf.apply(routed.shard);
+        Optional<String> owner = ownerOf.apply(pending.shard);
         if (owner.isEmpty()) {
             return false;
         }
         if (owner.get().equals(self)) {
-            local.handle(routed.shard, routed.request, routed.sink);
+            localHandler.handle(pending.shard, pending.request, pending.sink);
             return true;
         }
         PeerLink link = links.get(owner.get());
         if (link == null || !link.isOpen()) {
             return false;
         }
-        if (routed.request.hops() >= MAXIMUM_HOPS) {
-            refuse(routed, Refusal.notRunRetryAfter(ResultCode.OWNER_UNREACHABLE, "too many hops", 1_000));
+        if (pending.request.hops() >= MAXIMUM_HOPS) {
+            refuse(
+                    pending,
+                    Refusal.notRunRetryAfter(
+                            ResultCode.OWNER_UNREACHABLE, "the request was forwarded over too many hops", 1_000));
             return true;
         }
-        forward(link, routed);
+        forward(link, pending);
         return true;
     }
 
-    private void forward(PeerLink link, Routed routed) {
+    private void forward(PeerLink link, PendingRoute pending) {
         long exchange = nextExchange++;
-        OwnerRequest request = routed.request.passedOn();
-        forwarded.put(exchange, new Forwarded(link, routed));
+        OwnerRequest request = pending.request.withHopAdded();
+        forwarded.put(exchange, new ForwardedRequest(link, pending));
         link.send(Message.forwardRequest(new ForwardRequest(
                 exchange,
                 request.requestId(),
@@ -104,13 +108,13 @@
                 ByteBuffer.wrap(request.body()),
                 Math.max(1, request.deadlineMillis() - clock.now()),
                 request.hops())));
-        routed.sink.onClose(() -> cancel(exchange));
+        pending.sink.onClose(() -> cancel(exchange));
     }
 
     private void cancel(long exchange) {
-        Forwarded gone = forwarded.remove(exchange);
-        if (gone != null) {
-            gone.link.send(Message.forwardCancel(new ForwardCancel(exchange)));
+        ForwardedRequest cancelled = forwarded.remove(exchange);
+        if (cancelled != null) {
+            cancelled.link.send(Message.forwardCancel(new ForwardCancel(exchange)));
         }
     }
 
@@ -130,104 +134,114 @@
         broken.forEach(exchange -> rerouteOrAbort(forwarded.remove(exchange.longValue())));
     }
 
-    private void rerouteOrAbort(Forwarded state) {
-        Routed routed = state.routed;
-        if (!routed.sink.started()) {
-            routed.sinceMillis = clock.now();
-            waiting.add(routed);
+    private void rerouteOrAbort(ForwardedRequest state) {
+        PendingRoute pending = state.pending;
+        if (!pending.sink.started()) {
+            pending.waitingSinceMillis = clock.now();
+            waiting.add(pending);
             return;
         }
-        Answers.refuse(
-                routed.sink,
-                Refusal.after(ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, "the owner went away in mid-answer"),
-                routed.request.requestId());
+        CallerResponses.sendError(
+                pending.sink,
+                Refusal.after(
+                        ResultCode.OUTCOME_UNKNOWN,
+                        Execution.UNKNOWN,
+                        "the link to the owner of the shard broke during the response"),
+                pending.request.requestId());
     }
 
     void onHead(ForwardHead head) {
-        Forwarded state = forwarded.get(head.getExchange());
+        ForwardedRequest state = forwarded.get(head.getExchange());
         if (state != null) {
-            state.routed.sink.begin(head.getStatus(), head.getHeaders());
+            state.pending.sink.begin(head.getStatus(), head.getHeaders());
         }
     }
 
     void onChunk(ForwardChunk chunk) {
-        Forwarded state = forwarded.get(chunk.getExchange());
+        ForwardedRequest state = forwarded.get(chunk.getExchange());
         if (state == null) {
             return;
         }
         if (chunk.getSequence() != state.nextSequence) {
             forwarded.remove(chunk.getExchange());
-            state.routed.sink.abort();
+            state.pending.sink.abort();
             return;
         }
         state.nextSequence++;
-        state.routed.sink.write(chunk.getData());
+        state.pending.sink.write(chunk.getData());
     }
 
     void onEnd(ForwardEnd end) {
-        Forwarded state = forwarded.remove(end.getExchange());
+        ForwardedRequest state = forwarded.remove(end.getExchange());
         if (state == null) {
             return;
         }
         if (end.isWhole() && end.getChunks() == state.nextSequence) {
-            state.routed.sink.end();
+            state.pending.sink.end();
             return;
         }
-        state.routed.sink.abort();
+        state.pending.sink.abort();
     }
 
     /**
-     * Answers what was passed on and outlived its deadline. Guards against an owner that took a request and lost it: its
-     * caller would wait for ever, with an open connection and no answer.
+     * Answers forwarded requests whose deadline has passed. Guards against an owner that accepted a request and lost
+     * it, which would leave the caller waiting without limit on an open connection.
      */
     private void expireForwarded() {
-        List<Long> late = new ArrayList<>();
+        List<Long> overdue = new ArrayList<>();
         forwarded.forEachLong((exchange, state) -> {
-            if (clock.now() > state.routed.request.deadlineMillis() + OWNER_GRACE_MILLIS) {
-                late.add(exchange);
+            if (clock.now() > state.pending.request.deadlineMillis() + OWNER_GRACE_MILLIS) {
+                overdue.add(exchange);
             }
         });
-        for (Long exchange : late) {
-            Forwarded state = forwarded.remove(exchange.longValue());
-            Answers.refuse(
-                    state.routed.sink,
-                    Refusal.after(ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, "the owner did not answer in time"),
-                    state.routed.request.requestId());
+        for (Long exchange : overdue) {
+            ForwardedRequest state = forwarded.remove(exchange.longValue());
+            CallerResponses.sendError(
+                    state.pending.sink,
+                    Refusal.after(
+                            ResultCode.OUTCOME_UNKNOWN,
+                            Execution.UNKNOWN,
+                            "the owner of the shard did not answer in time"),
+                    state.pending.request.requestId());
         }
     }
 
-    /** Tries again what waits for an owner; refuses what waited too long. */
+    /** Retries the requests that wait for an owner, and refuses those that have waited too long. */
     void tick() {
         expireForwarded();
         if (waiting.isEmpty()) {
             return;
         }
-        List<Routed> again = new ArrayList<>(waiting);
+        List<PendingRoute> retries = new ArrayList<>(waiting);
         waiting.clear();
-        for (Routed routed : again) {
-            if (tryRoute(routed)) {
+        for (PendingRoute pending : retries) {
+            if (tryRoute(pending)) {
                 continue;
             }
-            boolean late = clock.now() - routed.sinceMillis > WAIT_FOR_OWNER_MILLIS
-                    || clock.now() >= routed.request.deadlineMillis();
-            if (late) {
-                refuse(routed, unreachable(routed));
+            boolean overdue = clock.now() - pending.waitingSinceMillis > WAIT_FOR_OWNER_MILLIS
+                    || clock.now() >= pending.request.deadlineMillis();
+            if (overdue) {
+                refuse(pending, unreachable(pending));
             } else {
-                waiting.add(routed);
+                waiting.add(pending);
             }
         }
     }
 
-    /** A request that was passed on before may have run, so "not run" would not be true of it. */
-    private static Refusal unreachable(Routed routed) {
-        if (routed.passedOnBefore) {
-            return Refusal.after(ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, "the owner went away");
+    /** A request that was forwarded before may have run, so it must not be reported as not run. */
+    private static Refusal unreachable(PendingRoute pending) {
+        if (pending.wasForwarded) {
+            return Refusal.after(
+                    ResultCode.OUTCOME_UNKNOWN,
+                    Execution.UNKNOWN,
+                    "the link to the owner of the shard broke and no owner was found in time");
         }
-        return Refusal.notRunRetryAfter(ResultCode.OWNER_UNREACHABLE, "no owner took the shard in time", 1_000);
+        return Refusal.notRunRetryAfter(
+                ResultCode.OWNER_UNREACHABLE, "no entry took ownership of the shard in time", 1_000);
     }
 
-    private static void refuse(Routed routed, Refusal refusal) {
-        Answers.refuse(routed.sink, refusal, routed.request.requestId());
+    private static void refuse(PendingRoute pending, Refusal refusal) {
+        CallerResponses.sendError(pending.sink, refusal, pending.request.requestId());
     }
 
     int waitingRequests() {
@@ -238,30 +252,30 @@
         return forwarded.size();
     }
 
-    private static final class Routed {
+    private static final class PendingRoute {
         private final int shard;
         private final OwnerRequest request;
         private final ResponseSink sink;
-        private long sinceMillis;
-        private boolean passedOnBefore;
+        private long waitingSinceMillis;
+        private boolean wasForwarded;
 
-        Routed(int shard, OwnerRequest request, ResponseSink sink, long nowMillis) {
+        PendingRoute(int shard, OwnerRequest request, ResponseSink sink, long nowMillis) {
             this.shard = shard;
             this.request = request;
             this.sink = sink;
-            this.sinceMillis = nowMillis;
+            this.waitingSinceMillis = nowMillis;
         }
     }
 
-    private static final class Forwarded {
+    private static final class ForwardedRequest {
         private final PeerLink link;
-        private final Routed routed;
+        private final PendingRoute pending;
         private int nextSequence;
 
-        Forwarded(PeerLink link, Routed routed) {
+        ForwardedRequest(PeerLink link, PendingRoute pending) {
             this.link = link;
-            this.routed = routed;
-            routed.passedOnBefore = true;
+            this.pending = pending;
+            pending.wasForwarded = true;
         }
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/OwnerService.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/OwnerService.java
@@ -24,7 +24,7 @@
 import org.quetzalshunt.server.http.ResponseSink;
 import org.quetzalshunt.wire.json.Json;
 
-/** Handles requests at the owner of their shard. */
+/** Handles requests at the owner of their shard: chat completions, programs and calls of plain services. */
 final class OwnerService implements ShardListener {
     static final String CHAT_PATH = "/v1/chat/completions";
     static final String PROGRAMS_PATH = "/v1/programs";
@@ -33,20 +33,26 @@
 
     private final OwnerContext owner;
     private final IntFunction<Shard> shards;
-    private final OpenAnswers open;
+    private final PendingResponses pendingResponses;
 
     OwnerService(OwnerContext owner, IntFunction<Shard> shards) {
         this.owner = owner;
         this.shards = shards;
-        this.open = new OpenAnswers(owner.clock());
+        this.pendingResponses = new PendingResponses(owner.clock());
     }
 
-    /** Handles a request whose shard this entry owns. */
+    /** Handles a request routed to this entry as the owner of the shard. Refuses it if the owner has changed. */
     void handle(int shardNumber, OwnerRequest request, ResponseSink sink) {
         Shard shard = shards.apply(shardNumber);
-        open.add(request, sink);
+        pendingResponses.add(request, sink);
         if (!shard.isOwned()) {
-            refuse(sink, request, Refusal.notRunRetryAfter(ResultCode.NOT_OWNER, "ask again", RETRY_AFTER_MILLIS));
+            refuse(
+                    sink,
+                    request,
+                    Refusal.notRunRetryAfter(
+                            ResultCode.NOT_OWNER,
+                            "the owner of the shard changed; send the request again",
+                            RETRY_AFTER_MILLIS));
             return;
         }
         if (request.path().equals(CHAT_PATH)) {
@@ -60,11 +66,11 @@
         call(shard, request, sink);
     }
 
-    /** Answers what is past its deadline and still open. */
+    /** Answers the requests whose deadline has passed and which have no response yet. */
     void tick() {
         long now = owner.clock().now();
         owner.callRuns().values().stream().toList().forEach(run -> run.expire(now));
-        open.tick();
+        pendingResponses.tick();
     }
 
     private void chat(Shard shard, OwnerRequest request, ResponseSink sink) {
@@ -80,27 +86,27 @@
             return;
         }
         ChatRun run = new ChatRun(owner, request, body, sink, shard);
-        owner.runs().put(request.requestId(), run);
+        owner.chatRuns().put(request.requestId(), run);
         TurnRequest turn = turnRequest(request, body, document.get().limits());
         Admission admission = shard.offerTurn(owner.clock().now(), turn);
         if (admission instanceof Admission.Accepted) {
             sink.onClose(() -> {
                 shard.withdrawTurn(turn.program(), request.requestId());
-                run.callerGone();
+                run.onCallerDisconnected();
             });
             return;
         }
-        owner.runs().remove(request.requestId());
-        settle(admission, request, sink, answer -> replay(answer, body, request, sink));
+        owner.chatRuns().remove(request.requestId());
+        completeAdmission(admission, request, sink, answer -> replay(answer, body, request, sink));
     }
 
     private static void replay(StoredAnswer answer, ChatBody body, OwnerRequest request, ResponseSink sink) {
         if (!body.stream()) {
-            Answers.stored(sink, answer, request.requestId());
+            CallerResponses.sendStored(sink, answer, request.requestId());
             return;
         }
-        sink.begin(200, Answers.headers(request.requestId(), Answers.EVENT_STREAM));
-        ChatAnswer.replay(answer.body(), body.includeUsage()).forEach(sink::write);
+        sink.begin(200, CallerResponses.headers(request.requestId(), CallerResponses.EVENT_STREAM));
+        ChatCompletionAssembler.replayEvents(answer.body(), body.includeUsage()).forEach(sink::write);
         sink.end();
     }
 
@@ -111,24 +117,24 @@
                 request.header(CallerHeaders.PROGRAM).orElseGet(() -> ProgramIds.implicit(request)),
                 implicit,
                 request.clientAccount(),
-                turn(request),
+                expectedTurn(request),
                 Optional.of(request.idempotencyKey()),
                 body.digest(),
                 body.messages(),
-                mode(request),
+                messageMode(request),
                 body.maximumTokens(),
                 request.deadlineMillis(),
                 limits,
                 body.service());
     }
 
-    private static OptionalInt turn(OwnerRequest request) {
+    private static OptionalInt expectedTurn(OwnerRequest request) {
         return request.header(CallerHeaders.TURN)
                 .map(value -> OptionalInt.of(Integer.parseInt(value)))
                 .orElse(OptionalInt.empty());
     }
 
-    private static MessageMode mode(OwnerRequest request) {
+    private static MessageMode messageMode(OwnerRequest request) {
         return switch (request.header(CallerHeaders.MESSAGES).orElse("")) {
             case "all" -> MessageMode.ALL;
             case "new" -> MessageMode.NEW;
@@ -138,7 +144,7 @@
 
     private void program(Shard shard, OwnerRequest request, ResponseSink sink) {
         if (request.method().equals("POST")) {
-            create(shard, request, sink);
+            createProgram(shard, request, sink);
             return;
         }
         String id = request.path().substring(PROGRAMS_PATH.length() + 1);
@@ -148,22 +154,29 @@
             return;
         }
         if (request.method().equals("GET") || found.get().endedCode().isPresent()) {
-            answer(sink, request, 200, found.get());
+            sendProgram(sink, request, 200, found.get());
             return;
         }
-        shard.endProgram(owner.clock().now(), id, ResultCode.OK, ended -> ended(ended, shard, id, request, sink));
+        shard.endProgram(
+                owner.clock().now(), id, ResultCode.OK, ended -> sendEndedProgram(ended, shard, id, request, sink));
     }
 
-    private void ended(boolean ended, Shard shard, String id, OwnerRequest request, ResponseSink sink) {
+    private void sendEndedProgram(boolean ended, Shard shard, String id, OwnerRequest request, ResponseSink sink) {
         Optional<ProgramView> view = shard.find(id, request.clientAccount());
         if (!ended || view.isEmpty()) {
-            refuse(sink, request, Refusal.notRunRetryAfter(ResultCode.NOT_OWNER, "ask again", RETRY_AFTER_MILLIS));
+            refuse(
+                    sink,
+                    request,
+                    Refusal.notRunRetryAfter(
+                            ResultCode.NOT_OWNER,
+                            "the owner of the shard changed; send the request again",
+                            RETRY_AFTER_MILLIS));
             return;
         }
-        answer(sink, request, 200, view.get());
+        sendProgram(sink, request, 200, view.get());
     }
 
-    private void create(Shard shard, OwnerRequest request, ResponseSink sink) {
+    private void createProgram(Shard shard, OwnerRequest request, ResponseSink sink) {
         Outcome<ProgramBody> read = ProgramBody.read(request.body());
         if (read instanceof Outcome.Failure<ProgramBody> failure) {
             refuse(sink, request, failure.refusal());
@@ -186,7 +199,7 @@
                 false,
                 request.requestId());
         shard.createProgram(record, outcome -> {
-            outcome.toOptional().ifPresent(view -> answer(sink, request, 201, view));
+            outcome.toOptional().ifPresent(view -> sendProgram(sink, request, 201, view));
             outcome.toRefusal().ifPresent(refusal -> refuse(sink, request, refusal));
         });
     }
@@ -201,7 +214,8 @@
             refuse(sink, request, Refusal.notRun(ResultCode.UNKNOWN_SERVICE, service));
             return;
         }
-        boolean atMostOnce = document.get().isNonIdempotent(request.method(), path) || request.hasCallersKey();
+        boolean atMostOnce =
+                document.get().isNonIdempotent(request.method(), path) || request.hasCallerIdempotencyKey();
         Optional<CallRequest> call = atMostOnce
                 ? Optional.of(new CallRequest(
                         request.requestId(),
@@ -212,7 +226,7 @@
                 : Optional.empty();
         CallRun run = new CallRun(owner, request, service, path, document.get().limits(), call, sink, shard);
         owner.callRuns().put(request.requestId(), run);
-        sink.onClose(run::callerGone);
+        sink.onClose(run::onCallerDisconnected);
         if (call.isEmpty()) {
             run.start();
             return;
@@ -222,7 +236,8 @@
             return;
         }
         owner.callRuns().remove(request.requestId());
-        settle(admission, request, sink, answer -> Answers.stored(sink, answer, request.requestId()));
+        completeAdmission(
+                admission, request, sink, answer -> CallerResponses.sendStored(sink, answer, request.requestId()));
     }
 
     private static byte[] callDigest(OwnerRequest request) {
@@ -230,13 +245,13 @@
         return Digests.sha256(line, request.body());
     }
 
-    private void settle(
+    private void completeAdmission(
             Admission admission,
             OwnerRequest request,
             ResponseSink sink,
-            java.util.function.Consumer<StoredAnswer> answered) {
+            java.util.function.Consumer<StoredAnswer> onAnswer) {
         if (admission instanceof Admission.Replay replay) {
-            answered.accept(replay.answer());
+            onAnswer.accept(replay.answer());
             return;
         }
         if (admission instanceof Admission.Refused refused) {
@@ -244,8 +259,8 @@
             return;
         }
         Admission.Attach attach = (Admission.Attach) admission;
-        owner.waiters().add(attach.requestId(), outcome -> {
-            outcome.toOptional().ifPresent(answered);
+        owner.duplicateRequests().add(attach.requestId(), outcome -> {
+            outcome.toOptional().ifPresent(onAnswer);
             outcome.toRefusal().ifPresent(refusal -> refuse(sink, request, refusal));
         });
     }
@@ -258,14 +273,14 @@
         owner.refuse(request, sink, refusal);
     }
 
-    private static void answer(ResponseSink sink, OwnerRequest request, int status, ProgramView view) {
-        ObjectNode node = ProgramBody.write(view);
-        sink.respond(status, Answers.headers(request.requestId(), "application/json"), Json.bytes(node));
+    private static void sendProgram(ResponseSink sink, OwnerRequest request, int status, ProgramView view) {
+        ObjectNode node = ProgramBody.toJson(view);
+        sink.respond(status, CallerResponses.headers(request.requestId(), "application/json"), Json.bytes(node));
     }
 
     @Override
     public void onTurnStart(TurnStart start) {
-        ChatRun run = owner.runs().get(start.request().requestId());
+        ChatRun run = owner.chatRuns().get(start.request().requestId());
         if (run != null) {
             run.start(start);
         }
@@ -281,27 +296,30 @@
 
     @Override
     public void onRefused(String requestId, Refusal refusal) {
-        ChatRun run = owner.runs().get(requestId);
+        ChatRun run = owner.chatRuns().get(requestId);
         if (run != null) {
             run.fail(refusal);
         }
         CallRun callRun = owner.callRuns().get(requestId);
         if (callRun != null) {
-            callRun.intentRefused(refusal);
+            callRun.onIntentRefused(refusal);
         }
     }
 
     @Override
     public void onOwnershipLost(int shard) {
-        owner.runs().values().stream().filter(run -> run.isOf(shard)).toList().forEach(ChatRun::ownershipLost);
+        owner.chatRuns().values().stream()
+                .filter(run -> run.belongsTo(shard))
+                .toList()
+                .forEach(ChatRun::onOwnershipLost);
         owner.callRuns().values().stream()
-                .filter(run -> run.isOf(shard))
+                .filter(run -> run.belongsTo(shard))
                 .toList()
-                .forEach(CallRun::ownershipLost);
+                .forEach(CallRun::onOwnershipLost);
     }
 
     @Override
     public void onProgramEnded(String program) {
-        owner.programEnded(program);
+        owner.onProgramEnded(program);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/Peers.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/Peers.java
@@ -16,27 +16,27 @@
 import org.quetzalshunt.wire.generated.Heartbeat;
 import org.quetzalshunt.wire.generated.Message;
 
-/** Links and heartbeats to other entries and to sidecars. */
+/** Tracks the links to other entries, and exchanges heartbeats with entries and sidecars. */
 final class Peers {
-    /** Below half of the silence after which a link counts as dead, so that one late heartbeat does no harm. */
-    private static final long KEEP_ALIVE_MILLIS = 1_000;
+    /** Less than half of the time after which a silent link is closed, so that one late heartbeat does not close it. */
+    private static final long KEEP_ALIVE_INTERVAL_MILLIS = 1_000;
 
     private final VmId self;
     private final EntryClock clock;
     private final Membership membership;
-    private final ConfigurationHost configuration;
+    private final ConfigurationStream configurationStream;
     private final Map<String, PeerLink> entries = new HashMap<>();
-    private final Map<String, Long> lastSentByPeer = new HashMap<>();
-    private long keptAliveMillis;
+    private final Map<String, Long> lastSentMillisByPeer = new HashMap<>();
+    private long lastKeepAliveMillis;
 
-    Peers(VmId self, EntryClock clock, Membership membership, ConfigurationHost configuration) {
+    Peers(VmId self, EntryClock clock, Membership membership, ConfigurationStream configurationStream) {
         this.self = self;
         this.clock = clock;
         this.membership = membership;
-        this.configuration = configuration;
+        this.configurationStream = configurationStream;
     }
 
-    /** Addresses to which this entry opens links: all sidecars, and the entries whose names come after its own. */
+    /** Addresses to which this entry opens links: all sidecars, and the entries whose names sort after its own. */
     Set<InetSocketAddress> wantedAddresses() {
         Set<InetSocketAddress> addresses = new HashSet<>();
         for (Vm vm : membership.sidecars()) {
@@ -66,11 +66,11 @@
 
     void onHeartbeat(PeerLink link, Heartbeat heartbeat) {
         VmId sender = link.remote().id();
-        membership.onHeartbeat(clock.now(), Heartbeats.own(sender.name(), sender.incarnation(), heartbeat));
-        membership.onDigest(clock.now(), Heartbeats.digest(heartbeat));
-        lastSentByPeer.put(link.remote().id().name(), heartbeat.getSentMillis());
+        membership.onHeartbeat(clock.now(), HeartbeatCodec.decodeOwn(sender.name(), sender.incarnation(), heartbeat));
+        membership.onDigest(clock.now(), HeartbeatCodec.decodeDigest(heartbeat));
+        lastSentMillisByPeer.put(link.remote().id().name(), heartbeat.getSentMillis());
         if (heartbeat.isSetEchoedSentMillis()) {
-            configuration
+            configurationStream
                     .freshness()
                     .heard(
                             link.remote().id().name(),
@@ -80,13 +80,18 @@
         }
     }
 
-    /** Sends the heartbeats that are due: to the round's targets, and to every link that would fall silent. */
+    /**
+     * Sends the heartbeats that are due: to the targets of this round and, at the keep-alive interval, on every link.
+     */
     void tick(Map<String, PeerLink> sidecars, List<Integer> ownedShards, boolean leaving) {
         long now = clock.now();
         membership.describeSelf(
-                configuration.configuration().next(), configuration.freshness().ageMillis(now), leaving, ownedShards);
+                configurationStream.configuration().next(),
+                configurationStream.freshness().ageMillis(now),
+                leaving,
+                ownedShards);
         membership.tick(now);
-        configuration
+        configurationStream
                 .freshness()
                 .peersListed(membership.entries().stream()
                         .map(member -> member.id().name())
@@ -98,22 +103,22 @@
                 link.send(heartbeat(target, membership.digest(target)));
             }
         }
-        if (now - keptAliveMillis >= KEEP_ALIVE_MILLIS) {
-            keptAliveMillis = now;
-            entries.values().forEach(this::send);
-            sidecars.values().forEach(this::send);
+        if (now - lastKeepAliveMillis >= KEEP_ALIVE_INTERVAL_MILLIS) {
+            lastKeepAliveMillis = now;
+            entries.values().forEach(this::sendKeepAlive);
+            sidecars.values().forEach(this::sendKeepAlive);
         }
     }
 
-    private void send(PeerLink link) {
+    private void sendKeepAlive(PeerLink link) {
         link.send(heartbeat(link.remote().id().name(), List.of()));
     }
 
     private Message heartbeat(String target, List<HeartbeatNews> digest) {
-        Heartbeat heartbeat = Heartbeats.write(membership.ownNews(), digest, clock.now());
-        Long echoed = lastSentByPeer.get(target);
-        if (echoed != null) {
-            heartbeat.setEchoedSentMillis(echoed);
+        Heartbeat heartbeat = HeartbeatCodec.encode(membership.ownNews(), digest, clock.now());
+        Long echoedSentMillis = lastSentMillisByPeer.get(target);
+        if (echoedSentMillis != null) {
+            heartbeat.setEchoedSentMillis(echoedSentMillis);
         }
         return Message.heartbeat(heartbeat);
     }
--- a/server/src/main/java/org/quetzalshunt/server/entry/ProgramBody.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ProgramBody.java
@@ -10,10 +10,10 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * Body of {@code POST /v1/programs}.
+ * Request body of {@code POST /v1/programs}. Also writes the JSON form of a program for responses.
  *
- * @param budgetTokens budget; empty for the default
- * @param parent program that makes a sub-agent
+ * @param budgetTokens token budget; empty for the default
+ * @param parent id of the parent program if the new program is a sub-agent
  */
 record ProgramBody(Optional<Long> budgetTokens, Optional<String> parent) {
     private static final long MAXIMUM_BUDGET = 1_000_000_000_000L;
@@ -33,14 +33,14 @@
         }
         JsonNode parent = parsed.get().path("parent");
         if (!parent.isMissingNode() && !parent.isNull() && !parent.isTextual()) {
-            return refuse(ResultCode.INVALID_FIELD, "parent must be a program id");
+            return refuse(ResultCode.INVALID_FIELD, "parent must be a string with a program id");
         }
         return Outcome.success(new ProgramBody(
                 budget.isMissingNode() ? Optional.empty() : Optional.of(budget.asLong()),
                 parent.isTextual() ? Optional.of(parent.asText()) : Optional.empty()));
     }
 
-    static ObjectNode write(ProgramView view) {
+    static ObjectNode toJson(ProgramView view) {
         ObjectNode node = Json.object();
         node.put("id", view.id());
         view.parent().ifPresent(parent -> node.put("parent", parent));
--- a/server/src/main/java/org/quetzalshunt/server/entry/ProgramIds.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ProgramIds.java
@@ -6,8 +6,8 @@
 import org.quetzalshunt.core.program.ShardNumbers;
 
 /**
- * Ids of programs, made from the account and the idempotency key of the request that makes them: a re-send over any
- * entry makes the same id, so it finds the program instead of making a second.
+ * Derives the id of a program from the account and the idempotency key of the request that creates it. A re-send
+ * through any entry yields the same id, so it finds the existing program instead of creating a second one.
  */
 final class ProgramIds {
     private static final int ID_BYTES = 12;
--- a/server/src/main/java/org/quetzalshunt/server/entry/RequestIds.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/RequestIds.java
@@ -2,7 +2,9 @@
 
 import java.util.SplittableRandom;
 
-/** Ids of requests: the incarnation and a random start keep the ids of two entries and of two lives apart. */
+/**
+ * Generates request ids. The prefix is derived from VM name and incarnation, so ids differ between VMs and restarts.
+ */
 final class RequestIds {
     private final String prefix;
     private long counter;
--- a/server/src/main/java/org/quetzalshunt/server/entry/RequestShards.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/RequestShards.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import org.quetzalshunt.core.program.ShardNumbers;
 
-/** The shard of a request, worked out alike by the entry that takes it and by each that it is passed to. */
+/** Determines the shard of a request, in the same way at the entry that receives it and at those it is forwarded to. */
 final class RequestShards {
     private RequestShards() {}
 
--- a/server/src/main/java/org/quetzalshunt/server/entry/Ticker.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/Ticker.java
@@ -7,18 +7,18 @@
 import org.tinylog.Logger;
 
 /**
- * Runs the ticks of a process: often while there is work, seldom while there is none. An idle entry that ticked every
- * 20 ms spent 3.2% of a core, more than the whole budget for control.
+ * Runs the periodic work of a process, at a short interval while there is work and at a long one while it is idle. An
+ * idle entry with an interval of 20 ms used 3.2% of a core, more than the whole CPU budget for control work.
  */
 final class Ticker {
-    private static final long BUSY_MILLIS = 20;
-    private static final long IDLE_MILLIS = 200;
+    private static final long BUSY_INTERVAL_MILLIS = 20;
+    private static final long IDLE_INTERVAL_MILLIS = 200;
 
     private final EventExecutor executor;
     private final Runnable tick;
     private final BooleanSupplier busy;
     private ScheduledFuture<?> next;
-    private boolean fast;
+    private boolean nextIsSoon;
 
     Ticker(EventExecutor executor, Runnable tick, BooleanSupplier busy) {
         this.executor = executor;
@@ -31,9 +31,9 @@
         run();
     }
 
-    /** Work came: the next tick is a busy one's. */
+    /** Reschedules the next tick to the short interval; called when work has arrived. */
     void wake() {
-        if (fast || next == null) {
+        if (nextIsSoon || next == null) {
             return;
         }
         next.cancel(false);
@@ -44,14 +44,14 @@
         try {
             tick.run();
         } catch (RuntimeException problem) {
-            // An exception must not end the ticks, or leases and deadlines would stop without a word.
+            // An exception must not end the ticks, or leases and deadlines would silently stop.
             Logger.error(problem, "a tick failed");
         }
         schedule(busy.getAsBoolean());
     }
 
-    private void schedule(boolean busyNow) {
-        fast = busyNow;
-        next = executor.schedule(this::run, busyNow ? BUSY_MILLIS : IDLE_MILLIS, TimeUnit.MILLISECONDS);
+    private void schedule(boolean soon) {
+        nextIsSoon = soon;
+        next = executor.schedule(this::run, soon ? BUSY_INTERVAL_MILLIS : IDLE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/VmListPoller.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/VmListPoller.java
@@ -14,7 +14,7 @@
 import org.quetzalshunt.server.http.HttpResponseListener;
 import org.quetzalshunt.wire.json.Json;
 
-/** Reads the platform's VM list again and again. While it can't be read, the last one stays. */
+/** Polls the platform's VM list. If a read fails, the previous list stays in use. */
 final class VmListPoller {
     private static final long INTERVAL_MILLIS = 1_000;
     private static final long TIMEOUT_MILLIS = 3_000;
@@ -23,9 +23,9 @@
     private final InetSocketAddress platform;
     private final EntryClock clock;
     private final Consumer<List<Vm>> listener;
-    private long startedMillis;
-    private boolean underWay;
-    private boolean readOnce;
+    private long lastRequestMillis;
+    private boolean requestInFlight;
+    private boolean hasReadList;
 
     VmListPoller(HttpClient client, InetSocketAddress platform, EntryClock clock, Consumer<List<Vm>> listener) {
         this.client = client;
@@ -34,23 +34,23 @@
         this.listener = listener;
     }
 
-    boolean readOnce() {
-        return readOnce;
+    boolean hasReadList() {
+        return hasReadList;
     }
 
     void tick() {
-        if (underWay || clock.now() - startedMillis < INTERVAL_MILLIS) {
+        if (requestInFlight || clock.now() - lastRequestMillis < INTERVAL_MILLIS) {
             return;
         }
-        underWay = true;
-        startedMillis = clock.now();
+        requestInFlight = true;
+        lastRequestMillis = clock.now();
         client.send(platform, "GET", "/vms", Map.of(), new byte[0], TIMEOUT_MILLIS, new HttpResponseListener() {
             private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-            private int answered;
+            private int responseStatus;
 
             @Override
             public void onHead(int status, HttpHeaders headers) {
-                answered = status;
+                responseStatus = status;
             }
 
             @Override
@@ -60,20 +60,20 @@
 
             @Override
             public void onEnd() {
-                underWay = false;
-                if (answered == 200) {
-                    Json.parse(body.toByteArray()).ifPresent(VmListPoller.this::read);
+                requestInFlight = false;
+                if (responseStatus == 200) {
+                    Json.parse(body.toByteArray()).ifPresent(VmListPoller.this::readList);
                 }
             }
 
             @Override
             public void onFailure(String reason, boolean requestMayHaveArrived) {
-                underWay = false;
+                requestInFlight = false;
             }
         });
     }
 
-    private void read(JsonNode root) {
+    private void readList(JsonNode root) {
         List<Vm> vms = new ArrayList<>();
         for (JsonNode node : root.path("vms")) {
             vms.add(new Vm(
@@ -85,7 +85,7 @@
                     node.path("service").asText(""),
                     node.path("state").asText().equals("leaving")));
         }
-        readOnce = true;
+        hasReadList = true;
         listener.accept(vms);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/WorkBoard.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/WorkDispatcher.java
@@ -11,15 +11,15 @@
 import org.quetzalshunt.core.decision.WorkItem;
 import org.quetzalshunt.core.result.Refusal;
 
-/** The work that waits or runs here, and the scheduler that decides over it. */
-final class WorkBoard {
+/** Holds the queued and running work of this entry, and dispatches it as the scheduler decides. */
+final class WorkDispatcher {
     private final EntryClock clock;
     private final Scheduler scheduler;
-    private final Long2ObjectHashMap<Work> works = new Long2ObjectHashMap<>();
+    private final Long2ObjectHashMap<QueuedWork> workById = new Long2ObjectHashMap<>();
     private long nextId = 1;
-    private boolean ticking;
+    private boolean isDispatching;
 
-    WorkBoard(EntryClock clock, Scheduler scheduler) {
+    WorkDispatcher(EntryClock clock, Scheduler scheduler) {
         this.clock = clock;
         this.scheduler = scheduler;
     }
@@ -28,23 +28,23 @@
         return scheduler;
     }
 
-    /** Queues work made for a fresh id; the refusal says that it was not taken. */
-    Optional<Refusal> offer(BiFunction<Long, WorkBoard, Work> make, int queueLimit) {
+    /** Assigns an id, creates the work for it and queues it; returns a refusal if it was not queued. */
+    Optional<Refusal> offer(BiFunction<Long, WorkDispatcher, QueuedWork> factory, int queueLimit) {
         long id = nextId++;
-        Work work = make.apply(id, this);
+        QueuedWork work = factory.apply(id, this);
         Optional<Refusal> refusal = scheduler.offer(clock.now(), work.item(), queueLimit);
         if (refusal.isEmpty()) {
-            works.put(id, work);
+            workById.put(id, work);
         }
         return refusal;
     }
 
-    /** Takes waiting work back; false when it runs or is not known. */
+    /** Removes queued work; returns false if the work is running or unknown. */
     boolean withdraw(WorkItem item) {
         if (!scheduler.withdraw(item.id())) {
             return false;
         }
-        works.remove(item.id());
+        workById.remove(item.id());
         return true;
     }
 
@@ -53,7 +53,7 @@
     }
 
     void finished(WorkItem item, Finish finish) {
-        works.remove(item.id());
+        workById.remove(item.id());
         scheduler.finished(clock.now(), item.id(), finish);
         tick();
     }
@@ -63,29 +63,29 @@
         tick();
     }
 
-    /** Dispatches what may start and refuses what cannot meet its deadline. */
+    /** Refuses the work that cannot meet its deadline, and dispatches the work that may start. */
     void tick() {
-        if (ticking) {
+        if (isDispatching) {
             return;
         }
-        ticking = true;
+        isDispatching = true;
         try {
             for (Expired expired : scheduler.expire(clock.now())) {
-                Work work = works.remove(expired.item().id());
+                QueuedWork work = workById.remove(expired.item().id());
                 if (work != null) {
-                    work.expired(expired.refusal());
+                    work.onExpired(expired.refusal());
                 }
             }
             for (Dispatch dispatch : scheduler.tick(clock.now())) {
-                Work work = works.get(dispatch.item().id());
+                QueuedWork work = workById.get(dispatch.item().id());
                 if (work == null) {
                     scheduler.finished(clock.now(), dispatch.item().id(), Finish.cancelled(0, 0));
                     continue;
                 }
-                work.dispatched(dispatch);
+                work.onDispatched(dispatch);
             }
         } finally {
-            ticking = false;
+            isDispatching = false;
         }
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/WorkItems.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/WorkItemFactory.java
@@ -6,12 +6,15 @@
 import org.quetzalshunt.core.program.TurnRequest;
 import org.quetzalshunt.core.program.TurnStart;
 
-/** Describes requests to the scheduler. */
-final class WorkItems {
-    /** Mean octets of a token of English text; corrected by the engine's own counts from the second turn on. */
+/** Creates the scheduler's descriptions of turns and calls. */
+final class WorkItemFactory {
+    /**
+     * Mean number of bytes of a token in English text, to estimate the tokens of new messages. From the second turn on,
+     * the engine's count is used for the history.
+     */
     private static final long BYTES_PER_TOKEN = 4;
 
-    private WorkItems() {}
+    private WorkItemFactory() {}
 
     static WorkItem ofTurn(
             OwnerContext owner, long id, TurnStart start, long arrivedMillis, int attempts, String avoidEndpoint) {
--- a/server/src/main/java/org/quetzalshunt/server/entry/package-info.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/package-info.java
@@ -1,11 +1,12 @@
 /**
- * The entry: takes callers' HTTP, checks keys and limits, owns shards of programs, decides what runs where, and keeps
- * answers whole. Everything runs on one event loop, so there are no locks.
+ * The entry: accepts callers' HTTP requests, checks keys and rate limits, owns shards of programs, schedules requests
+ * to endpoints, and makes sure that a truncated response is never mistaken for a complete one. All of it runs on one
+ * event loop, so there are no locks.
  *
- * <p>The way of a request: {@link org.quetzalshunt.server.entry.CallerApi} (key, rate) → {@link
- * org.quetzalshunt.server.entry.OwnerRouter} (to the owner of its shard) → {@link
- * org.quetzalshunt.server.entry.OwnerService} (order, history, budget, at most once) → {@link
- * org.quetzalshunt.server.entry.WorkBoard} (when and where) → {@link org.quetzalshunt.server.entry.AttemptBoard} (to
- * the sidecar and back).
+ * <p>Path of a request: {@link org.quetzalshunt.server.entry.CallerApi} (key, rate limit) → {@link
+ * org.quetzalshunt.server.entry.OwnerRouter} (routing to the owner of the shard) → {@link
+ * org.quetzalshunt.server.entry.OwnerService} (order, history, budget, at-most-once execution) → {@link
+ * org.quetzalshunt.server.entry.WorkDispatcher} (scheduling) → {@link org.quetzalshunt.server.entry.AttemptTracker}
+ * (attempt at the sidecar).
  */
 package org.quetzalshunt.server.entry;
