--- a/server/src/main/java/org/quetzalshunt/server/sidecar/EndpointRuns.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/AttemptExecutor.java
@@ -16,46 +16,49 @@
 import org.quetzalshunt.server.http.HttpClient;
 import org.quetzalshunt.server.http.HttpResponseListener;
 
-/** Requests to the endpoint that carry attempts. */
-final class EndpointRuns {
+/** Executes attempts at the endpoint: sends, resumes and cancels their HTTP requests, and tracks the open calls. */
+final class AttemptExecutor {
     private static final byte[] NO_BODY = {};
     private static final String CHAT_PATH = "/v1/chat/completions";
     private static final String REQUESTS_PATH = "/engine/requests/";
 
-    /** The gate's own deadline comes first; this one only frees the connection. */
+    /** The gate enforces the deadline; this later timeout only frees the connection. */
     private static final long TIMEOUT_MARGIN_MILLIS = 2_000;
 
     private static final long CANCEL_TIMEOUT_MILLIS = 1_000;
 
-    /** A cancel that overtakes its request on another connection finds nothing; the second one finds it. */
-    private static final long SECOND_CANCEL_MILLIS = 1_000;
+    /**
+     * A cancel can reach the engine before its request, which uses another connection, and then has no effect. It is
+     * sent once more after this delay.
+     */
+    private static final long CANCEL_REPEAT_DELAY_MILLIS = 1_000;
 
     private final EventLoopGroup group;
     private final InetSocketAddress endpoint;
-    private final boolean engine;
+    private final boolean isEngine;
     private final HttpClient pooled;
     private final HttpClient unpooled;
     private final Consumer<EndpointEvent> events;
     private final Long2ObjectHashMap<HttpCall> calls = new Long2ObjectHashMap<>();
 
-    private EndpointRuns(EventLoopGroup group, SidecarSettings settings, Consumer<EndpointEvent> events) {
+    private AttemptExecutor(EventLoopGroup group, SidecarSettings settings, Consumer<EndpointEvent> events) {
         this.group = group;
         this.endpoint = settings.endpoint();
-        this.engine = settings.kind() == ServiceKind.ENGINE;
+        this.isEngine = settings.kind() == ServiceKind.ENGINE;
         this.pooled = HttpClient.create(group);
         this.unpooled = HttpClient.create(group);
         this.events = events;
     }
 
-    static EndpointRuns create(EventLoopGroup group, SidecarSettings settings, Consumer<EndpointEvent> events) {
-        return new EndpointRuns(group, settings, events);
+    static AttemptExecutor create(EventLoopGroup group, SidecarSettings settings, Consumer<EndpointEvent> events) {
+        return new AttemptExecutor(group, settings, events);
     }
 
     void start(GateOutput.StartRun start) {
         AttemptOrder order = start.order();
-        HttpClient client = order.repeatable() ? pooled : freshConnection();
-        String method = engine ? "POST" : order.method();
-        String path = engine ? CHAT_PATH : order.path();
+        HttpClient client = order.repeatable() ? pooled : freshConnectionClient();
+        String method = isEngine ? "POST" : order.method();
+        String path = isEngine ? CHAT_PATH : order.path();
         send(client, order.attempt(), start.run(), method, path, headers(order), order.body(), start.timeoutMillis());
     }
 
@@ -69,9 +72,9 @@
         if (call != null) {
             call.cancel();
         }
-        if (engine) {
-            cancelAtEngine(attempt);
-            group.next().schedule(() -> cancelAtEngine(attempt), SECOND_CANCEL_MILLIS, TimeUnit.MILLISECONDS);
+        if (isEngine) {
+            sendCancel(attempt);
+            group.next().schedule(() -> sendCancel(attempt), CANCEL_REPEAT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -79,7 +82,7 @@
         return calls.size();
     }
 
-    /** Breaks every connection. */
+    /** Cancels all calls and closes the pooled connections. */
     void close() {
         calls.values().forEach(HttpCall::cancel);
         calls.clear();
@@ -88,10 +91,11 @@
     }
 
     /**
-     * A kept connection that the service closes at the moment of its use would make the outcome of a call unknown
-     * that never arrived; a call that must not be repeated therefore gets a connection of its own.
+     * Returns a client without idle connections. A service can close an idle connection just as a request is sent on
+     * it, which leaves the outcome of a request unknown that never arrived. A request that must not be repeated
+     * therefore gets a new connection.
      */
-    private HttpClient freshConnection() {
+    private HttpClient freshConnectionClient() {
         unpooled.close();
         return unpooled;
     }
@@ -105,11 +109,12 @@
             Map<String, String> headers,
             byte[] body,
             long timeoutMillis) {
-        RunListener listener = RunListener.of(attempt, run, engine, events, () -> calls.remove(attempt));
+        AttemptResponseListener listener =
+                AttemptResponseListener.of(attempt, run, isEngine, events, () -> calls.remove(attempt));
         Optional<HttpCall> call =
                 trySend(client, method, path, headers, body, timeoutMillis + TIMEOUT_MARGIN_MILLIS, listener);
         if (call.isEmpty()) {
-            listener.onFailure("the request cannot be written as HTTP", false);
+            listener.onFailure("request is not valid HTTP", false);
             return;
         }
         if (!listener.isEnded()) {
@@ -117,7 +122,7 @@
         }
     }
 
-    /** Empty when method, path or a header cannot stand in an HTTP request, which Netty finds before it connects. */
+    /** Empty when the method, the path or a header is not valid in HTTP; Netty rejects those before it connects. */
     private Optional<HttpCall> trySend(
             HttpClient client,
             String method,
@@ -135,7 +140,7 @@
 
     private Map<String, String> headers(AttemptOrder order) {
         Map<String, String> headers = EndpointHeaders.ofRequest(order.headers().entrySet());
-        if (!engine) {
+        if (!isEngine) {
             return headers;
         }
         headers.putIfAbsent("content-type", "application/json");
@@ -147,9 +152,15 @@
         return headers;
     }
 
-    private void cancelAtEngine(long attempt) {
+    private void sendCancel(long attempt) {
         String path = REQUESTS_PATH + attempt;
         pooled.send(
-                endpoint, "DELETE", path, Map.of(), NO_BODY, CANCEL_TIMEOUT_MILLIS, WholeAnswer.gather(answer -> {}));
+                endpoint,
+                "DELETE",
+                path,
+                Map.of(),
+                NO_BODY,
+                CANCEL_TIMEOUT_MILLIS,
+                BufferedResponse.collect(answer -> {}));
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/AttemptMessages.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/AttemptMessages.java
@@ -14,13 +14,13 @@
 import org.quetzalshunt.wire.generated.Message;
 import org.quetzalshunt.wire.generated.Usage;
 
-/** Turns messages of links into the gate's records and back. */
+/** Converts between link messages and the records of the endpoint gate. */
 final class AttemptMessages {
     private static final byte[] NO_BODY = {};
 
     private AttemptMessages() {}
 
-    /** The order in a message; empty when a field that it cannot do without is missing. */
+    /** Converts a start message to an order; empty when a required field is missing. */
     static Optional<AttemptOrder> order(AttemptStart start) {
         if (!start.isSetAttempt() || !start.isSetShard() || !start.isSetEpoch() || !start.isSetRemainingMillis()) {
             return Optional.empty();
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/RunListener.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/AttemptResponseListener.java
@@ -7,29 +7,31 @@
 import org.quetzalshunt.core.attempt.EventStreamParser;
 import org.quetzalshunt.server.http.HttpResponseListener;
 
-/** Turns one HTTP answer of the endpoint into events for the gate. Each part is passed on as it comes. */
-final class RunListener implements HttpResponseListener {
+/** Converts one HTTP response of the endpoint into events for the gate, each part as soon as it arrives. */
+final class AttemptResponseListener implements HttpResponseListener {
     private static final int STATUS_OK = 200;
 
     private final long attempt;
     private final int run;
     private final Consumer<EndpointEvent> events;
-    private final Runnable whenEnded;
-    private final boolean chat;
+    private final Runnable endAction;
+    private final boolean isChat;
     private final EventStreamParser parser = EventStreamParser.create(this::onStreamEvent);
-    private boolean stream;
+    private boolean isEventStream;
     private boolean ended;
 
-    private RunListener(long attempt, int run, boolean chat, Consumer<EndpointEvent> events, Runnable whenEnded) {
+    private AttemptResponseListener(
+            long attempt, int run, boolean isChat, Consumer<EndpointEvent> events, Runnable endAction) {
         this.attempt = attempt;
         this.run = run;
-        this.chat = chat;
+        this.isChat = isChat;
         this.events = events;
-        this.whenEnded = whenEnded;
+        this.endAction = endAction;
     }
 
-    static RunListener of(long attempt, int run, boolean chat, Consumer<EndpointEvent> events, Runnable whenEnded) {
-        return new RunListener(attempt, run, chat, events, whenEnded);
+    static AttemptResponseListener of(
+            long attempt, int run, boolean isChat, Consumer<EndpointEvent> events, Runnable endAction) {
+        return new AttemptResponseListener(attempt, run, isChat, events, endAction);
     }
 
     boolean isEnded() {
@@ -38,18 +40,18 @@
 
     @Override
     public void onHead(int status, HttpHeaders headers) {
-        stream = chat && status == STATUS_OK;
+        isEventStream = isChat && status == STATUS_OK;
         events.accept(new EndpointEvent.Head(attempt, run, status, EndpointHeaders.ofAnswer(headers)));
     }
 
     @Override
     public void onChunk(byte[] data) {
-        if (!stream) {
+        if (!isEventStream) {
             events.accept(new EndpointEvent.Data(attempt, run, data));
             return;
         }
         if (!parser.accept(data)) {
-            onFailure("an event is longer than allowed", true);
+            onFailure("server-sent event exceeds the maximum length", true);
         }
     }
 
@@ -68,7 +70,7 @@
             return;
         }
         ended = true;
-        whenEnded.run();
+        endAction.run();
         events.accept(event);
     }
 
@@ -78,6 +80,6 @@
             return;
         }
         events.accept(new EndpointEvent.Data(attempt, run, data));
-        ChatChunks.read(attempt, run, data).ifPresent(events);
+        ChatChunks.parse(attempt, run, data).ifPresent(events);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/WholeAnswer.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/BufferedResponse.java
@@ -9,14 +9,14 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * A short answer of the engine or the platform, gathered whole.
+ * A complete short response of the engine or the platform.
  *
  * @param status HTTP status
- * @param retryAfterSeconds value of {@code Retry-After} where it is a number
- * @param body body, cut at the bound
+ * @param retryAfterSeconds value of {@code Retry-After} if it is a number
+ * @param body body, incomplete if larger than the limit
  */
-record WholeAnswer(int status, Optional<Integer> retryAfterSeconds, byte[] body) {
-    /** A list of ten thousand cache entries fits. */
+record BufferedResponse(int status, Optional<Integer> retryAfterSeconds, byte[] body) {
+    /** Holds a list of ten thousand cache entries. */
     private static final int MAXIMUM_BYTES = 2 * 1024 * 1024;
 
     private static final int FIRST_SUCCESS = 200;
@@ -26,23 +26,23 @@
         return status >= FIRST_SUCCESS && status < FIRST_REDIRECT;
     }
 
-    /** The body, where the answer is a success and JSON. */
+    /** The parsed body; empty unless the response is a success with a JSON body. */
     Optional<JsonNode> json() {
         return isSuccess() ? Json.parse(body) : Optional.empty();
     }
 
-    /** A listener that gives the answer, or nothing when none came whole. */
-    static HttpResponseListener gather(Consumer<Optional<WholeAnswer>> receiver) {
-        return new Gathering(receiver);
+    /** A listener that buffers the response and passes it to the receiver; empty when it did not complete. */
+    static HttpResponseListener collect(Consumer<Optional<BufferedResponse>> receiver) {
+        return new Collector(receiver);
     }
 
-    private static final class Gathering implements HttpResponseListener {
-        private final Consumer<Optional<WholeAnswer>> receiver;
+    private static final class Collector implements HttpResponseListener {
+        private final Consumer<Optional<BufferedResponse>> receiver;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private int status;
         private Optional<Integer> retryAfter = Optional.empty();
 
-        private Gathering(Consumer<Optional<WholeAnswer>> receiver) {
+        private Collector(Consumer<Optional<BufferedResponse>> receiver) {
             this.receiver = receiver;
         }
 
@@ -61,7 +61,7 @@
 
         @Override
         public void onEnd() {
-            receiver.accept(Optional.of(new WholeAnswer(status, retryAfter, body.toByteArray())));
+            receiver.accept(Optional.of(new BufferedResponse(status, retryAfter, body.toByteArray())));
         }
 
         @Override
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/ChatChunks.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/ChatChunks.java
@@ -8,7 +8,7 @@
 import org.quetzalshunt.core.attempt.TokenUsage;
 import org.quetzalshunt.wire.json.Json;
 
-/** What the chunks of a chat completion say about the answer as a whole. */
+/** Extracts the usage figures and the finish reason from the chunks of a chat completion. */
 final class ChatChunks {
     private static final byte[] END_MARK = "[DONE]".getBytes(StandardCharsets.UTF_8);
 
@@ -18,8 +18,8 @@
         return Arrays.equals(data, END_MARK);
     }
 
-    /** Usage and finish reason, where the chunk has either. */
-    static Optional<EndpointEvent.Counted> read(long attempt, int run, byte[] data) {
+    /** Usage and finish reason in a chunk; empty when it contains neither. */
+    static Optional<EndpointEvent.Counted> parse(long attempt, int run, byte[] data) {
         Optional<JsonNode> chunk = Json.parse(data);
         if (chunk.isEmpty()) {
             return Optional.empty();
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/EndpointHealth.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/EndpointHealth.java
@@ -5,29 +5,29 @@
 import org.quetzalshunt.core.document.ServiceKind;
 
 /**
- * Whether the endpoint takes work, and its load. An engine is asked for it; a plain service has no question that is
- * free of effects, so it is judged by the calls that it gets.
+ * Tracks whether the endpoint accepts work, and its load. An engine is polled for its load. A plain service has no
+ * request that is known to be free of side effects, so its health is derived from the calls that it receives.
  */
 final class EndpointHealth {
-    /** One lost answer is a hiccup; three in a row are an endpoint that is gone. */
+    /** A single failure may be transient; three in a row mean that the endpoint is down. */
     private static final int FAILURES_TO_UNHEALTHY = 3;
 
-    /** How long a plain service that cannot be reached gets nothing, until the next call tries it. */
-    private static final long PLAIN_REST_MILLIS = 2_000;
+    /** Time for which a plain service that failed repeatedly receives no calls; the next call after it is the probe. */
+    private static final long PLAIN_RETRY_DELAY_MILLIS = 2_000;
 
-    private final boolean engine;
+    private final boolean isEngine;
     private final SidecarTimes times;
-    private final Consumer<EndpointLoad> whenAnswered;
+    private final Consumer<EndpointLoad> loadListener;
     private EndpointLoad load = EndpointLoad.UNKNOWN;
     private int failures;
-    private boolean answered;
-    private boolean asking;
+    private boolean hasAnswered;
+    private boolean pollInFlight;
     private long lastPollMillis;
-    private long restsUntilMillis;
+    private long blockedUntilMillis;
 
-    EndpointHealth(ServiceKind kind, SidecarTimes times, Consumer<EndpointLoad> whenAnswered) {
-        this.whenAnswered = whenAnswered;
-        this.engine = kind == ServiceKind.ENGINE;
+    EndpointHealth(ServiceKind kind, SidecarTimes times, Consumer<EndpointLoad> loadListener) {
+        this.loadListener = loadListener;
+        this.isEngine = kind == ServiceKind.ENGINE;
         this.times = times;
     }
 
@@ -36,42 +36,42 @@
     }
 
     boolean isHealthy(long nowMillis) {
-        if (engine) {
-            return answered && failures < FAILURES_TO_UNHEALTHY;
+        if (isEngine) {
+            return hasAnswered && failures < FAILURES_TO_UNHEALTHY;
         }
-        return nowMillis >= restsUntilMillis;
+        return nowMillis >= blockedUntilMillis;
     }
 
-    /** Asks the engine when it is time. */
+    /** Polls the engine for its load when the interval has passed. */
     void tick(EngineClient client, boolean working, long nowMillis) {
-        long interval = working || !answered || failures > 0 ? times.loadPollMillis() : times.idlePollMillis();
-        if (!engine || asking || nowMillis - lastPollMillis < interval) {
+        long interval = working || !hasAnswered || failures > 0 ? times.loadPollMillis() : times.idlePollMillis();
+        if (!isEngine || pollInFlight || nowMillis - lastPollMillis < interval) {
             return;
         }
-        asking = true;
+        pollInFlight = true;
         lastPollMillis = nowMillis;
-        client.load(this::onLoad);
+        client.fetchLoad(this::onLoad);
     }
 
-    /** A call to a plain service could not connect, or got an answer. */
-    void onPlainCall(boolean reached, long nowMillis) {
-        failures = reached ? 0 : failures + 1;
-        if (reached) {
-            restsUntilMillis = 0;
+    /** Records the result of a call to a plain service: an answer began, or the call failed. */
+    void onPlainCall(boolean answered, long nowMillis) {
+        failures = answered ? 0 : failures + 1;
+        if (answered) {
+            blockedUntilMillis = 0;
         } else if (failures >= FAILURES_TO_UNHEALTHY) {
-            restsUntilMillis = nowMillis + PLAIN_REST_MILLIS;
+            blockedUntilMillis = nowMillis + PLAIN_RETRY_DELAY_MILLIS;
         }
     }
 
     private void onLoad(Optional<EndpointLoad> answer) {
-        asking = false;
+        pollInFlight = false;
         if (answer.isEmpty()) {
             failures++;
             return;
         }
-        answered = true;
+        hasAnswered = true;
         failures = 0;
         load = answer.get();
-        whenAnswered.accept(load);
+        loadListener.accept(load);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/EndpointLoad.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/EndpointLoad.java
@@ -6,14 +6,14 @@
 import org.quetzalshunt.core.attempt.ModelVersion;
 
 /**
- * What an endpoint says of its load.
+ * Load reported by an endpoint.
  *
- * @param running requests in the batch
- * @param waiting requests before it
- * @param slots requests that the batch can hold; 0 when not known
+ * @param running requests in the current batch
+ * @param waiting requests queued for the batch
+ * @param slots requests that fit in the batch; 0 when unknown
  * @param cachedTokens tokens in the prefix cache
- * @param cacheCapacityTokens tokens that fit there
- * @param tokensPerSecond speed of decoding, all requests together
+ * @param cacheCapacityTokens capacity of the prefix cache in tokens
+ * @param tokensPerSecond decoding speed over all requests together
  * @param models loaded models
  */
 record EndpointLoad(
@@ -26,7 +26,7 @@
         List<ModelVersion> models) {
     static final EndpointLoad UNKNOWN = new EndpointLoad(0, 0, 0, 0, 0, 0, List.of());
 
-    static EndpointLoad read(JsonNode load) {
+    static EndpointLoad parse(JsonNode load) {
         return new EndpointLoad(
                 load.path("running").asInt(),
                 load.path("waiting").asInt(),
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/EngineClient.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/EngineClient.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import org.quetzalshunt.server.http.HttpClient;
 
-/** Short questions to the engine that carry no attempt: its load and its cache. */
+/** Calls the engine's status API: polls its load, and lists and frees its cache entries. */
 final class EngineClient {
     private static final byte[] NO_BODY = {};
 
@@ -28,40 +28,41 @@
         return new EngineClient(group, settings);
     }
 
-    /** The present load; nothing when the engine does not answer in time. */
-    void load(Consumer<Optional<EndpointLoad>> receiver) {
+    /** Fetches the current load; empty when the engine gives no valid answer in time. */
+    void fetchLoad(Consumer<Optional<EndpointLoad>> receiver) {
         send(
                 "GET",
                 "/engine/load",
-                answer -> receiver.accept(answer.flatMap(WholeAnswer::json).map(EndpointLoad::read)));
+                answer -> receiver.accept(answer.flatMap(BufferedResponse::json).map(EndpointLoad::parse)));
     }
 
-    /** Programs whose cache entry is held; nothing when the engine does not answer in time. */
-    void heldPrograms(Consumer<Optional<List<String>>> receiver) {
+    /** Fetches the programs whose cache entries are held; empty when the engine gives no valid answer in time. */
+    void listHeldPrograms(Consumer<Optional<List<String>>> receiver) {
         send(
                 "GET",
                 "/engine/cache",
-                answer -> receiver.accept(answer.flatMap(WholeAnswer::json).map(EngineClient::held)));
+                answer -> receiver.accept(answer.flatMap(BufferedResponse::json).map(EngineClient::parseHeldPrograms)));
     }
 
-    /** Frees a program's entry; the receiver hears whether the engine did. */
+    /** Frees a program's cache entry; the receiver gets whether the engine confirmed it. */
     void freeCache(String program, Consumer<Boolean> receiver) {
         String path = "/engine/cache/" + PathSegments.encode(program);
         send(
                 "DELETE",
                 path,
-                answer -> receiver.accept(answer.filter(WholeAnswer::isSuccess).isPresent()));
+                answer -> receiver.accept(
+                        answer.filter(BufferedResponse::isSuccess).isPresent()));
     }
 
     void close() {
         client.close();
     }
 
-    private void send(String method, String path, Consumer<Optional<WholeAnswer>> receiver) {
-        client.send(endpoint, method, path, Map.of(), NO_BODY, timeoutMillis, WholeAnswer.gather(receiver));
+    private void send(String method, String path, Consumer<Optional<BufferedResponse>> receiver) {
+        client.send(endpoint, method, path, Map.of(), NO_BODY, timeoutMillis, BufferedResponse.collect(receiver));
     }
 
-    private static List<String> held(JsonNode listing) {
+    private static List<String> parseHeldPrograms(JsonNode listing) {
         List<String> programs = new ArrayList<>();
         for (JsonNode entry : listing.path("entries")) {
             if (entry.path("held").asBoolean()) {
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/LinkTable.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/LinkTable.java
@@ -10,7 +10,7 @@
 import org.quetzalshunt.server.transport.PeerLink;
 import org.quetzalshunt.wire.generated.Message;
 
-/** Open links of entries, by the numbers under which the gate knows them. */
+/** Open links to entries, by the numbers that identify them to the gate. */
 final class LinkTable {
     private final Long2ObjectHashMap<PeerLink> byNumber = new Long2ObjectHashMap<>();
     private final Map<PeerLink, Long> numbers = new HashMap<>();
@@ -25,18 +25,19 @@
     }
 
     /**
-     * Notes the incarnation of a link that opened; false when the VM has had a higher one. Guards against the former
-     * process of an entry that was replaced, paused or behind a half-open connection: its orders are void.
+     * Records the incarnation of a newly opened link; false when the VM has already had a link of a higher one. Guards
+     * against orders from an entry process that was replaced but still runs, for example after a pause, or whose
+     * connection is half-open.
      */
-    boolean noteIncarnation(PeerLink link) {
+    boolean recordIncarnation(PeerLink link) {
         VmId id = link.remote().id();
         long highest = incarnations.merge(id.name(), id.incarnation(), Math::max);
         return id.incarnation() == highest;
     }
 
-    /** Links of former processes of the same VM. */
-    List<PeerLink> listFormer(PeerLink present) {
-        VmId id = present.remote().id();
+    /** Links of earlier incarnations of the same VM. */
+    List<PeerLink> listSuperseded(PeerLink current) {
+        VmId id = current.remote().id();
         return list().stream()
                 .filter(link -> link.remote().id().name().equals(id.name()))
                 .filter(link -> link.remote().id().incarnation() < id.incarnation())
@@ -56,7 +57,7 @@
         return Optional.of(number);
     }
 
-    /** Sends to a link, if it is still open. */
+    /** Sends a message; does nothing when the link is closed. */
     void send(long number, Message message) {
         PeerLink link = byNumber.get(number);
         if (link != null) {
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/EngineOrders.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/ModelRolloutExecutor.java
@@ -20,8 +20,11 @@
 import org.quetzalshunt.server.http.HttpClient;
 import org.quetzalshunt.wire.json.Json;
 
-/** Carries the orders of a rollout to the engine, and its questions to the weight store. */
-final class EngineOrders {
+/**
+ * Executes the steps of a model rollout: sends load and unload orders to the engine, and asks the weight store whether
+ * the weights of a version are available.
+ */
+final class ModelRolloutExecutor {
     private static final byte[] NO_BODY = {};
     private static final String ORDERS_PATH = "/engine/orders";
     private static final int STATUS_CONFLICT = 409;
@@ -29,7 +32,7 @@
     private static final int STATUS_TOO_MANY_REQUESTS = 429;
     private static final long MILLIS_PER_SECOND = 1_000;
 
-    /** The weight store answers when it has fetched a version, which takes tens of seconds for a large one. */
+    /** The weight store answers once it has fetched a version, which takes tens of seconds for a large one. */
     private static final long WEIGHTS_TIMEOUT_MILLIS = 120_000;
 
     private final SidecarSettings settings;
@@ -37,23 +40,23 @@
     private final HttpClient client;
     private final ModelRollout rollout;
 
-    private EngineOrders(EventLoopGroup group, SidecarSettings settings, LongSupplier clock) {
+    private ModelRolloutExecutor(EventLoopGroup group, SidecarSettings settings, LongSupplier clock) {
         this.settings = settings;
         this.clock = clock;
         this.client = HttpClient.create(group);
         this.rollout = ModelRollout.create(this::perform, clock.getAsLong());
     }
 
-    static EngineOrders create(EventLoopGroup group, SidecarSettings settings, LongSupplier clock) {
-        return new EngineOrders(group, settings, clock);
+    static ModelRolloutExecutor create(EventLoopGroup group, SidecarSettings settings, LongSupplier clock) {
+        return new ModelRolloutExecutor(group, settings, clock);
     }
 
-    void desire(long version, List<String> names, boolean engineChecksFencing) {
+    void setTarget(long version, List<String> names, boolean engineChecksFencing) {
         List<ModelVersion> models = new ArrayList<>();
         names.forEach(name -> ModelVersion.parse(name).ifPresent(models::add));
-        long stepMillis = RolloutSteps.delayMillis(
+        long delayMillis = RolloutSteps.delayMillis(
                 settings.id().name(), version, settings.times().rolloutWindowMillis());
-        rollout.desire(version, models, engineChecksFencing, stepMillis, clock.getAsLong());
+        rollout.desire(version, models, engineChecksFencing, delayMillis, clock.getAsLong());
     }
 
     void onLoad(EndpointLoad load) {
@@ -75,12 +78,24 @@
     private void perform(RolloutOutput output) {
         if (output instanceof RolloutOutput.FetchWeights fetch) {
             fetchWeights(fetch.model());
-        } else if (output instanceof RolloutOutput.GiveOrder given) {
-            byte[] body = Json.bytes(body(given));
-            send(settings.endpoint(), "POST", ORDERS_PATH, body, orderTimeout(), answer -> onOrder(taken(answer)));
+        } else if (output instanceof RolloutOutput.GiveOrder order) {
+            byte[] body = Json.bytes(orderBody(order));
+            send(
+                    settings.endpoint(),
+                    "POST",
+                    ORDERS_PATH,
+                    body,
+                    orderTimeoutMillis(),
+                    answer -> onOrderAnswer(parseAcceptance(answer)));
         } else if (output instanceof RolloutOutput.AskOrder ask) {
             String path = ORDERS_PATH + "/" + PathSegments.encode(ask.order());
-            send(settings.endpoint(), "GET", path, NO_BODY, orderTimeout(), answer -> onOrder(standing(answer)));
+            send(
+                    settings.endpoint(),
+                    "GET",
+                    path,
+                    NO_BODY,
+                    orderTimeoutMillis(),
+                    answer -> onOrderAnswer(parseOrderState(answer)));
         }
     }
 
@@ -97,14 +112,14 @@
                 path,
                 NO_BODY,
                 WEIGHTS_TIMEOUT_MILLIS,
-                answer -> rollout.onWeights(weights(answer), clock.getAsLong()));
+                answer -> rollout.onWeights(parseWeightsAnswer(answer), clock.getAsLong()));
     }
 
-    private void onOrder(OrderAnswer answer) {
+    private void onOrderAnswer(OrderAnswer answer) {
         rollout.onOrder(answer, clock.getAsLong());
     }
 
-    private long orderTimeout() {
+    private long orderTimeoutMillis() {
         return settings.times().pollTimeoutMillis();
     }
 
@@ -114,24 +129,24 @@
             String path,
             byte[] body,
             long timeoutMillis,
-            Consumer<Optional<WholeAnswer>> receiver) {
+            Consumer<Optional<BufferedResponse>> receiver) {
         Map<String, String> headers = Map.of("content-type", "application/json");
-        client.send(address, method, path, headers, body, timeoutMillis, WholeAnswer.gather(receiver));
+        client.send(address, method, path, headers, body, timeoutMillis, BufferedResponse.collect(receiver));
     }
 
-    private static ObjectNode body(RolloutOutput.GiveOrder given) {
+    private static ObjectNode orderBody(RolloutOutput.GiveOrder order) {
         return Json.object()
-                .put("order", given.load() ? "load" : "unload")
-                .put("model", given.model().model())
-                .put("version", given.model().version())
-                .put("fencingToken", given.fencingToken());
+                .put("order", order.load() ? "load" : "unload")
+                .put("model", order.model().model())
+                .put("version", order.model().version())
+                .put("fencingToken", order.fencingToken());
     }
 
-    private static OrderAnswer taken(Optional<WholeAnswer> answer) {
+    private static OrderAnswer parseAcceptance(Optional<BufferedResponse> answer) {
         if (answer.isPresent() && answer.get().status() == STATUS_CONFLICT) {
             return new OrderAnswer.Fenced();
         }
-        Optional<String> order = answer.flatMap(WholeAnswer::json)
+        Optional<String> order = answer.flatMap(BufferedResponse::json)
                 .map(json -> json.path("order"))
                 .filter(JsonNode::isTextual)
                 .map(JsonNode::asText);
@@ -142,8 +157,8 @@
         return refused ? new OrderAnswer.Failed() : new OrderAnswer.Unknown();
     }
 
-    private static OrderAnswer standing(Optional<WholeAnswer> answer) {
-        String state = answer.flatMap(WholeAnswer::json)
+    private static OrderAnswer parseOrderState(Optional<BufferedResponse> answer) {
+        String state = answer.flatMap(BufferedResponse::json)
                 .map(json -> json.path("state").asText())
                 .orElse("");
         return switch (state) {
@@ -154,17 +169,17 @@
         };
     }
 
-    private static WeightsAnswer weights(Optional<WholeAnswer> answer) {
+    private static WeightsAnswer parseWeightsAnswer(Optional<BufferedResponse> answer) {
         if (answer.isEmpty()) {
             return new WeightsAnswer.Unknown();
         }
-        WholeAnswer given = answer.get();
-        if (given.status() == STATUS_NOT_FOUND) {
+        BufferedResponse response = answer.get();
+        if (response.status() == STATUS_NOT_FOUND) {
             return new WeightsAnswer.Missing();
         }
-        if (given.status() == STATUS_TOO_MANY_REQUESTS) {
-            return new WeightsAnswer.Later(given.retryAfterSeconds().orElse(1) * MILLIS_PER_SECOND);
+        if (response.status() == STATUS_TOO_MANY_REQUESTS) {
+            return new WeightsAnswer.Later(response.retryAfterSeconds().orElse(1) * MILLIS_PER_SECOND);
         }
-        return given.isSuccess() ? new WeightsAnswer.Ready() : new WeightsAnswer.Unknown();
+        return response.isSuccess() ? new WeightsAnswer.Ready() : new WeightsAnswer.Unknown();
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/ReportSender.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/ReportSender.java
@@ -6,20 +6,20 @@
 import org.quetzalshunt.wire.generated.EndpointReport;
 import org.quetzalshunt.wire.generated.Message;
 
-/** Tells entries how the endpoint stands: at once when a link opens, soon when something changed, else now and then. */
+/** Sends endpoint reports to entries: when a link opens, soon after a change, and periodically otherwise. */
 final class ReportSender {
-    /** A plain service names no limit; entries adapt theirs below this one. */
+    /** Slots reported for a plain service, which states no limit; entries adapt their own limit below this one. */
     private static final int PLAIN_SLOTS = 64;
 
-    /** An idle endpoint's figures do not change, and entries trust a report for ten seconds. */
+    /** An idle endpoint's figures do not change, and entries regard a report as current for ten seconds. */
     private static final long IDLE_REPORT_MILLIS = 1_000;
 
     private final SidecarSettings settings;
     private final LinkTable links;
-    private Standing lastSent = new Standing(0, 0, false, false);
+    private ReportedState lastSent = new ReportedState(0, 0, false, false);
     private long lastSentMillis;
 
-    private record Standing(int running, int waiting, boolean healthy, boolean leaving) {}
+    private record ReportedState(int running, int waiting, boolean healthy, boolean leaving) {}
 
     ReportSender(SidecarSettings settings, LinkTable links) {
         this.settings = settings;
@@ -28,18 +28,18 @@
 
     void tick(GateCounts counts, EndpointLoad load, boolean healthy, long nowMillis) {
         long sinceMillis = nowMillis - lastSentMillis;
-        Standing present = standing(counts, load, healthy);
-        boolean idle = present.running() == 0 && present.waiting() == 0;
+        ReportedState current = reportedState(counts, load, healthy);
+        boolean idle = current.running() == 0 && current.waiting() == 0;
         boolean due =
                 sinceMillis >= (idle ? IDLE_REPORT_MILLIS : settings.times().reportMillis());
-        boolean changed = !present.equals(lastSent);
+        boolean changed = !current.equals(lastSent);
         if (due || (changed && sinceMillis >= settings.times().quickReportMillis())) {
             sendToAll(counts, load, healthy, nowMillis);
         }
     }
 
     void sendToAll(GateCounts counts, EndpointLoad load, boolean healthy, long nowMillis) {
-        lastSent = standing(counts, load, healthy);
+        lastSent = reportedState(counts, load, healthy);
         lastSentMillis = nowMillis;
         Message report = report(counts, load, healthy);
         for (PeerLink link : links.list()) {
@@ -52,13 +52,13 @@
     }
 
     private Message report(GateCounts counts, EndpointLoad load, boolean healthy) {
-        Standing standing = standing(counts, load, healthy);
+        ReportedState state = reportedState(counts, load, healthy);
         return Message.endpointReport(new EndpointReport(
                 settings.id().name(),
                 settings.id().incarnation(),
                 settings.service(),
-                standing.running(),
-                standing.waiting(),
+                state.running(),
+                state.waiting(),
                 settings.kind() == ServiceKind.ENGINE ? load.slots() : PLAIN_SLOTS,
                 load.cachedTokens(),
                 load.cacheCapacityTokens(),
@@ -70,13 +70,17 @@
     }
 
     /**
-     * The engine's own figures lag; this process, its only gate, knows at once what it sent there. Where more runs
-     * here than the engine says, the difference runs in free slots first and waits behind them.
+     * The engine's figures lag behind, whereas the gate counts every attempt that it sent. Attempts that the engine
+     * does not report yet are counted as running while slots are free, and as waiting beyond that.
      */
-    private static Standing standing(GateCounts counts, EndpointLoad load, boolean healthy) {
-        int unseen = Math.max(0, counts.running() - load.running() - load.waiting());
-        int freeSlots = load.slots() == 0 ? unseen : Math.max(0, load.slots() - load.running());
-        int startable = Math.min(unseen, freeSlots);
-        return new Standing(load.running() + startable, load.waiting() + unseen - startable, healthy, counts.leaving());
+    private static ReportedState reportedState(GateCounts counts, EndpointLoad load, boolean healthy) {
+        int unreported = Math.max(0, counts.running() - load.running() - load.waiting());
+        int freeSlots = load.slots() == 0 ? unreported : Math.max(0, load.slots() - load.running());
+        int unreportedRunning = Math.min(unreported, freeSlots);
+        return new ReportedState(
+                load.running() + unreportedRunning,
+                load.waiting() + unreported - unreportedRunning,
+                healthy,
+                counts.leaving());
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/Sidecar.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/Sidecar.java
@@ -16,16 +16,19 @@
 import org.quetzalshunt.wire.generated.CacheRenew;
 import org.quetzalshunt.wire.generated.Message;
 
-/** Joins links, gate and endpoint. Used on the event loop only. */
+/**
+ * Connects links, gate and endpoint: passes messages and endpoint events to the gate, and performs its outputs. Used on
+ * the event loop only.
+ */
 final class Sidecar implements LinkListener {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final SidecarSettings settings;
     private final EndpointGate gate;
-    private final EndpointRuns runs;
+    private final AttemptExecutor attempts;
     private final EngineClient engine;
     private final EndpointHealth health;
-    private final EngineOrders orders;
+    private final ModelRolloutExecutor modelRollout;
     private final LinkTable links = new LinkTable();
     private final ReportSender reports;
     private final Ticker ticker;
@@ -33,10 +36,10 @@
     private Sidecar(EventLoopGroup group, SidecarSettings settings) {
         this.settings = settings;
         this.gate = EndpointGate.create(settings.gateSettings(), this::perform, nowMillis());
-        this.runs = EndpointRuns.create(group, settings, this::onEndpoint);
+        this.attempts = AttemptExecutor.create(group, settings, this::onEndpointEvent);
         this.engine = EngineClient.create(group, settings);
-        this.orders = EngineOrders.create(group, settings, Sidecar::nowMillis);
-        this.health = new EndpointHealth(settings.kind(), settings.times(), orders::onLoad);
+        this.modelRollout = ModelRolloutExecutor.create(group, settings, Sidecar::nowMillis);
+        this.health = new EndpointHealth(settings.kind(), settings.times(), modelRollout::onLoad);
         this.reports = new ReportSender(settings, links);
         this.ticker = Ticker.create(group.next(), this::tick, this::isBusy);
     }
@@ -47,11 +50,11 @@
 
     @Override
     public void onOpen(PeerLink link) {
-        if (link.remote().role() != VmRole.ENTRY || !links.noteIncarnation(link)) {
+        if (link.remote().role() != VmRole.ENTRY || !links.recordIncarnation(link)) {
             link.close();
             return;
         }
-        links.listFormer(link).forEach(PeerLink::close);
+        links.listSuperseded(link).forEach(PeerLink::close);
         links.add(link);
         reports.sendTo(link, gate.counts(), health.load(), isHealthy());
     }
@@ -74,8 +77,8 @@
                         message.getAttemptResume().getFromSequence());
             case ATTEMPT_CANCEL ->
                 gate.cancel(number.get(), message.getAttemptCancel().getAttempt(), now);
-            case CACHE_RENEW -> renew(message.getCacheRenew(), now);
-            case CACHE_RELEASE -> release(message.getCacheRelease(), now);
+            case CACHE_RENEW -> renewCache(message.getCacheRenew(), now);
+            case CACHE_RELEASE -> releaseCache(message.getCacheRelease(), now);
             default -> {}
         }
     }
@@ -98,12 +101,12 @@
         long now = nowMillis();
         gate.tick(now);
         health.tick(engine, gate.counts().running() > 0, now);
-        orders.tick();
+        modelRollout.tick();
         reports.tick(gate.counts(), health.load(), health.isHealthy(now), now);
     }
 
-    /** Refuses new attempts and says so to every entry at once. */
-    void leave() {
+    /** Refuses new attempts and reports this to every entry at once. */
+    void startDraining() {
         gate.leave();
         ticker.wake();
         reports.sendToAll(gate.counts(), health.load(), isHealthy(), nowMillis());
@@ -115,19 +118,19 @@
 
     void close() {
         links.list().forEach(PeerLink::close);
-        runs.close();
+        attempts.close();
         engine.close();
-        orders.close();
+        modelRollout.close();
     }
 
-    void desiredModels(long version, List<String> models, boolean engineChecksFencing) {
+    void setDesiredModels(long version, List<String> models, boolean engineChecksFencing) {
         if (settings.kind() == ServiceKind.ENGINE) {
-            orders.desire(version, models, engineChecksFencing);
+            modelRollout.setTarget(version, models, engineChecksFencing);
         }
     }
 
-    RolloutStatus rollout() {
-        return orders.status();
+    RolloutStatus rolloutStatus() {
+        return modelRollout.status();
     }
 
     SidecarSettings settings() {
@@ -147,7 +150,7 @@
     }
 
     int openCalls() {
-        return runs.open();
+        return attempts.open();
     }
 
     List<PeerLink> links() {
@@ -163,26 +166,26 @@
             links.send(end.link(), AttemptMessages.end(end));
         } else if (output instanceof GateOutput.StartRun start) {
             ticker.wake();
-            runs.start(start);
+            attempts.start(start);
         } else if (output instanceof GateOutput.ResumeRun resume) {
-            runs.resume(resume);
+            attempts.resume(resume);
         } else if (output instanceof GateOutput.StopRun stop) {
-            runs.stop(stop.attempt());
+            attempts.stop(stop.attempt());
         } else if (output instanceof GateOutput.FreeCache free) {
-            engine.freeCache(free.program(), answered -> gate.cacheFreed(free.program(), answered, nowMillis()));
+            engine.freeCache(free.program(), freed -> gate.cacheFreed(free.program(), freed, nowMillis()));
         } else if (output instanceof GateOutput.ListCache) {
-            engine.heldPrograms(held -> held.ifPresent(programs -> gate.cacheListed(programs, nowMillis())));
+            engine.listHeldPrograms(held -> held.ifPresent(programs -> gate.cacheListed(programs, nowMillis())));
         }
     }
 
-    private void onEndpoint(EndpointEvent event) {
+    private void onEndpointEvent(EndpointEvent event) {
         if (settings.kind() == ServiceKind.PLAIN) {
-            watchPlain(event);
+            updatePlainHealth(event);
         }
         gate.on(event, nowMillis());
     }
 
-    private void watchPlain(EndpointEvent event) {
+    private void updatePlainHealth(EndpointEvent event) {
         if (event instanceof EndpointEvent.Head) {
             health.onPlainCall(true, nowMillis());
         } else if (event instanceof EndpointEvent.Failed) {
@@ -190,13 +193,13 @@
         }
     }
 
-    private void renew(CacheRenew renew, long now) {
+    private void renewCache(CacheRenew renew, long now) {
         if (renew.isSetPrograms()) {
             gate.renewCache(renew.getShard(), renew.getEpoch(), renew.getPrograms(), renew.getLeaseMillis(), now);
         }
     }
 
-    private void release(CacheRelease release, long now) {
+    private void releaseCache(CacheRelease release, long now) {
         if (release.isSetProgram()) {
             gate.releaseCache(release.getShard(), release.getEpoch(), release.getProgram(), now);
         }
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/SidecarProcess.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/SidecarProcess.java
@@ -14,16 +14,16 @@
 import org.quetzalshunt.server.transport.LinkServer;
 import org.quetzalshunt.server.transport.LinkSettings;
 
-/** A running sidecar. Its methods may be called from any thread but its own event loop. */
+/** A running sidecar. Its methods may be called from any thread except its own event loop. */
 public final class SidecarProcess {
-    /** How often a stop looks whether everything ended. */
-    private static final long LOOK_MILLIS = 50;
+    /** Interval at which a planned stop checks whether all work has ended. */
+    private static final long IDLE_CHECK_MILLIS = 50;
 
-    /** An engine that does not answer when its memory is freed may hold a planned stop up for two seconds, no more. */
-    private static final int FREEING_LOOKS = (int) (2_000 / LOOK_MILLIS);
+    /** An engine that does not answer requests to free its cache delays a planned stop by at most two seconds. */
+    private static final int MAXIMUM_CACHE_FREE_CHECKS = (int) (2_000 / IDLE_CHECK_MILLIS);
 
-    /** Lets the last frames leave before the links close. */
-    private static final long LINGER_MILLIS = 200;
+    /** Time for the last frames to be sent before the links close. */
+    private static final long FINAL_FRAMES_MILLIS = 200;
 
     private static final long SHUTDOWN_MILLIS = 2_000;
 
@@ -32,7 +32,7 @@
     private final LinkServer linkServer;
     private final HttpServer httpServer;
     private final long drainMillis;
-    private int freeingLooks;
+    private int cacheFreeChecks;
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
 
     private SidecarProcess(
@@ -44,7 +44,10 @@
         this.drainMillis = drainMillis;
     }
 
-    /** Binds its ports and starts; a taken port fails with a {@link java.net.BindException}, unchecked by Netty. */
+    /**
+     * Binds the ports and starts; throws a {@link java.net.BindException}, unchecked through Netty, when a port is
+     * taken.
+     */
     public static SidecarProcess start(SidecarSettings settings) {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
@@ -77,32 +80,33 @@
         return linkServer.port();
     }
 
-    /** Port for health and dumps. */
+    /** Port for health checks and dumps. */
     public int httpPort() {
         return httpServer.port();
     }
 
     /**
-     * The service's document names models, each as {@code name@version}; what cannot be read as such is left out.
-     * The engine is brought to them. Nothing happens for a version that is not newer than the last.
+     * Sets the models that the engine is to serve, as listed in the service document, and starts a rollout to them. Has
+     * no effect unless the version is newer than the last one.
      *
-     * @param version version of the document, the fencing token of the orders
-     * @param engineChecksFencing whether the engine refuses orders with an old token; if not, the first order waits
-     *     until those of a former process are over
+     * @param version version of the document, which is the fencing token of the orders
+     * @param models models, each as {@code name@version}; other texts are ignored
+     * @param engineChecksFencing whether the engine refuses orders with an outdated token; if not, the first order is
+     *     delayed until the orders of a former process have ended
      */
-    public void desiredModels(long version, List<String> models, boolean engineChecksFencing) {
+    public void setDesiredModels(long version, List<String> models, boolean engineChecksFencing) {
         List<String> copy = List.copyOf(models);
-        group.next().execute(() -> sidecar.desiredModels(version, copy, engineChecksFencing));
+        group.next().execute(() -> sidecar.setDesiredModels(version, copy, engineChecksFencing));
     }
 
-    /** The same for an engine of which it is not known whether it checks fencing tokens. */
-    public void desiredModels(long version, List<String> models) {
-        desiredModels(version, models, false);
+    /** Sets the models of an engine that is not known to check fencing tokens. */
+    public void setDesiredModels(long version, List<String> models) {
+        setDesiredModels(version, models, false);
     }
 
     /**
-     * Planned stop: refuses new attempts, finishes what runs within a bounded time, and ends. A second call changes
-     * nothing.
+     * Planned stop: refuses new attempts, waits a bounded time for running ones, and ends the process. Further calls
+     * have no effect.
      *
      * @return completes when the process has ended
      */
@@ -114,14 +118,14 @@
             if (sidecar.counts().leaving()) {
                 return;
             }
-            sidecar.leave();
+            sidecar.startDraining();
             group.next().schedule(this::endDrain, drainMillis, TimeUnit.MILLISECONDS);
             awaitIdle();
         });
         return stopped;
     }
 
-    /** Closes everything at once, as a crash would; returns when it is closed. */
+    /** Closes everything at once, as a crash would, and waits until it is closed. */
     public void kill() {
         if (group.isShuttingDown()) {
             group.terminationFuture().syncUninterruptibly();
@@ -134,12 +138,13 @@
 
     private void awaitIdle() {
         boolean running = sidecar.counts().running() > 0;
-        boolean frees = !running && sidecar.counts().heldPrograms() > 0 && freeingLooks++ < FREEING_LOOKS;
-        if (running || frees) {
-            group.next().schedule(this::awaitIdle, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        boolean freeing =
+                !running && sidecar.counts().heldPrograms() > 0 && cacheFreeChecks++ < MAXIMUM_CACHE_FREE_CHECKS;
+        if (running || freeing) {
+            group.next().schedule(this::awaitIdle, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
-        group.next().schedule(this::end, LINGER_MILLIS, TimeUnit.MILLISECONDS);
+        group.next().schedule(this::end, FINAL_FRAMES_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void endDrain() {
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/SidecarSettings.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/SidecarSettings.java
@@ -7,19 +7,20 @@
 import org.quetzalshunt.core.vm.VmId;
 
 /**
- * Checked settings of a sidecar.
+ * Validated settings of a sidecar.
  *
  * @param id name and incarnation of this VM
- * @param dataCentre where it is
- * @param bindHost IP number to listen on
- * @param linkPort port for links of entries; 0 for any
- * @param httpPort port for health and dumps; 0 for any
+ * @param dataCentre data centre of this VM
+ * @param bindHost IP address to listen on
+ * @param linkPort port for links of entries; 0 for any free port
+ * @param httpPort port for health checks and dumps; 0 for any free port
  * @param service name of the service that the endpoint belongs to
- * @param kind what the endpoint is
- * @param endpoint where the endpoint listens
- * @param platform where the platform listens, whose weight store is asked before each load; without it, it is not
+ * @param kind kind of the endpoint
+ * @param endpoint address of the endpoint
+ * @param platform address of the platform, whose weight store is asked before each load; if empty, weights count as
+ *     available
  * @param secret the deployment's shared secret
- * @param times intervals and bounds
+ * @param times intervals and time limits
  */
 public record SidecarSettings(
         VmId id,
@@ -33,7 +34,7 @@
         Optional<InetSocketAddress> platform,
         byte[] secret,
         SidecarTimes times) {
-    /** Joins checked values, with the default times. */
+    /** Settings with the default times. */
     public static SidecarSettings of(
             VmId id,
             String dataCentre,
@@ -59,7 +60,7 @@
                 SidecarTimes.defaults());
     }
 
-    /** The same with other times. */
+    /** A copy with other times. */
     public SidecarSettings withTimes(SidecarTimes other) {
         return new SidecarSettings(
                 id, dataCentre, bindHost, linkPort, httpPort, service, kind, endpoint, platform, secret, other);
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/SidecarTimes.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/SidecarTimes.java
@@ -3,17 +3,18 @@
 import org.quetzalshunt.core.attempt.GateSettings;
 
 /**
- * Times of a sidecar, in milliseconds.
+ * Intervals and time limits of a sidecar, in milliseconds.
  *
- * @param loadPollMillis between two questions for the engine's load while attempts run or it does not answer
- * @param idlePollMillis the same while none runs; nothing changes there but by what this process sends
- * @param pollTimeoutMillis after which a question to the engine counts as failed
- * @param reportMillis between two reports to an entry while attempts run and nothing changes; a second while none runs
- * @param quickReportMillis between two reports when something does
- * @param drainMillis how long a planned stop waits for running attempts
- * @param graceMillis how long a repeatable attempt runs on with no receiver
- * @param rolloutWindowMillis time over which the engines of a fleet take up a new version of a model that they serve
- * @param cacheLeaseMillis lease time that entries ask for; cache entries found at the start are left alone that long
+ * @param loadPollMillis interval between polls of the engine's load while attempts run or it does not answer
+ * @param idlePollMillis the same interval while no attempt runs; the load then changes only through this process
+ * @param pollTimeoutMillis time after which a request to the engine that carries no attempt counts as failed
+ * @param reportMillis interval between reports to an entry while attempts run and nothing changes; one second while
+ *     none runs
+ * @param quickReportMillis shortest interval between reports when something changes
+ * @param drainMillis longest time for which a planned stop waits for running attempts
+ * @param graceMillis time for which a repeatable attempt continues without a receiver
+ * @param rolloutWindowMillis time over which the engines of a fleet spread the switch to a new version of a model
+ * @param cacheLeaseMillis lease time that entries request; cache entries found at the start are kept for that long
  */
 public record SidecarTimes(
         long loadPollMillis,
@@ -31,13 +32,13 @@
     private static final long REPORT_MILLIS = 500;
     private static final long QUICK_REPORT_MILLIS = 50;
 
-    /** The default deadline of a request: whatever was taken in before the stop ends within it. */
+    /** The default deadline of a request, so that every request accepted before the stop can end. */
     private static final long DRAIN_MILLIS = 60_000;
 
-    /** Short enough for a document to be taken up everywhere within seconds; the loads themselves come on top. */
+    /** Short enough for a document to take effect everywhere within seconds, plus the time of the loads themselves. */
     private static final long ROLLOUT_WINDOW_MILLIS = 10_000;
 
-    /** Values in force where settings are silent. */
+    /** The default times. */
     public static SidecarTimes defaults() {
         return new SidecarTimes(
                 LOAD_POLL_MILLIS,
@@ -51,7 +52,7 @@
                 GateSettings.DEFAULT_ORPHAN_CACHE_MILLIS);
     }
 
-    /** The same with another bound on a planned stop. */
+    /** A copy with another limit on the drain of a planned stop. */
     public SidecarTimes withDrainMillis(long millis) {
         return new SidecarTimes(
                 loadPollMillis,
@@ -65,7 +66,7 @@
                 cacheLeaseMillis);
     }
 
-    /** The same with other times for attempts without a receiver and for cache entries without a lease. */
+    /** A copy with other times for attempts without a receiver and for cache entries without a lease. */
     public SidecarTimes withGraceAndLease(long grace, long cacheLease) {
         return new SidecarTimes(
                 loadPollMillis,
@@ -79,7 +80,7 @@
                 cacheLease);
     }
 
-    /** The same with another time over which a new version of a model is taken up. */
+    /** A copy with another rollout window. */
     public SidecarTimes withRolloutWindowMillis(long millis) {
         return new SidecarTimes(
                 loadPollMillis,
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/StatusPages.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/StatusPages.java
@@ -8,7 +8,7 @@
 import org.quetzalshunt.server.transport.PeerLink;
 import org.quetzalshunt.wire.json.Json;
 
-/** What the process shows over HTTP: alive, ready for work, and a dump of its state without any content or key. */
+/** HTTP pages for liveness, readiness and a dump of the state, which contains no request content and no key. */
 final class StatusPages {
     private static final int STATUS_OK = 200;
     private static final int STATUS_NOT_FOUND = 404;
@@ -43,7 +43,7 @@
         dump.put("openCalls", sidecar.openCalls());
         dump.set("gate", gate(sidecar.counts()));
         dump.set("load", load(sidecar.load()));
-        dump.set("rollout", rollout(sidecar.rollout()));
+        dump.set("rollout", rollout(sidecar.rolloutStatus()));
         dump.set("links", links(sidecar));
         return dump;
     }
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/Ticker.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/Ticker.java
@@ -7,21 +7,23 @@
 import org.tinylog.Logger;
 
 /**
- * Runs an action again and again, often while there is work and rarely while there is none, since an idle process may
- * use 1.4% of a core and each wake-up costs a part of it.
+ * Runs an action periodically: often while there is work, rarely while idle, because an idle process may use at most
+ * 1.4% of a core and each wake-up adds to it.
  */
 final class Ticker {
-    /** Bounds how late a stall, a lapse or a report is; well below each of them. */
+    /**
+     * Upper bound on the delay in noticing a stall, an expired lease or a due report; well below each of those times.
+     */
     private static final long BUSY_MILLIS = 50;
 
-    /** As often as an idle engine's state can matter: a lease lapses, a report is due. */
+    /** Short enough for the leases and the reports of an idle engine. */
     private static final long IDLE_MILLIS = 500;
 
     private final EventLoop loop;
     private final Runnable action;
     private final BooleanSupplier busy;
     private ScheduledFuture<?> next;
-    private boolean nextIsSoon;
+    private boolean isNextSoon;
 
     private Ticker(EventLoop loop, Runnable action, BooleanSupplier busy) {
         this.loop = loop;
@@ -33,9 +35,9 @@
         return new Ticker(loop, action, busy);
     }
 
-    /** Work came: the next run is soon. Also starts the first one. Call on the event loop. */
+    /** Schedules the next run soon, because work arrived; also schedules the first one. Call on the event loop. */
     void wake() {
-        if (nextIsSoon) {
+        if (isNextSoon) {
             return;
         }
         if (next != null) {
@@ -45,16 +47,16 @@
     }
 
     private void schedule(boolean soon) {
-        nextIsSoon = soon;
+        isNextSoon = soon;
         next = loop.schedule(this::run, soon ? BUSY_MILLIS : IDLE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** An exception must not end the ticks, or deadlines and leases would silently stop. */
+    /** Catches exceptions: an uncaught one would end the schedule, and with it every deadline and lease. */
     private void run() {
         try {
             action.run();
         } catch (RuntimeException problem) {
-            Logger.error(problem, "a tick failed");
+            Logger.error(problem, "periodic sidecar task failed");
         }
         schedule(busy.getAsBoolean());
     }
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/package-info.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The process beside an endpoint: takes orders from entries over links, speaks HTTP to its endpoint, and does what
- * {@link org.quetzalshunt.core.attempt.EndpointGate} decides. Everything runs on one event loop.
+ * The process beside an endpoint: accepts attempts from entries over links, sends them to its endpoint over HTTP, and
+ * performs the decisions of {@link org.quetzalshunt.core.attempt.EndpointGate}. Everything runs on one event loop.
  */
 package org.quetzalshunt.server.sidecar;
--- a/server/src/test/java/org/quetzalshunt/server/sidecar/FakeEndpoint.java
+++ b/server/src/test/java/org/quetzalshunt/server/sidecar/FakeEndpoint.java
@@ -16,7 +16,7 @@
 import org.quetzalshunt.server.http.HttpLimits;
 import org.quetzalshunt.server.http.HttpServer;
 
-/** An endpoint whose answers a test scripts by method and path; keeps every request that came. */
+/** An endpoint with scripted responses by method and path, which records every request. */
 final class FakeEndpoint {
     static final String CHAT = "POST /v1/chat/completions";
     private static final int STATUS_OK = 200;
@@ -39,7 +39,7 @@
         return endpoint;
     }
 
-    /** Scripts the answer for a method and a path prefix; the longest prefix counts. */
+    /** Sets the response for a method and a path prefix; the longest matching prefix applies. */
     FakeEndpoint on(String methodAndPath, HttpHandler script) {
         scripts.put(methodAndPath, script);
         return this;
@@ -51,23 +51,23 @@
 
     List<HttpExchange> requests(String methodAndPath) {
         return requests.stream()
-                .filter(exchange -> text(exchange).startsWith(methodAndPath))
+                .filter(exchange -> requestLine(exchange).startsWith(methodAndPath))
                 .toList();
     }
 
-    /** Runs on the endpoint's event loop, on which answers are written. */
+    /** Runs an action on the event loop on which responses are written, and waits for it. */
     void run(Runnable action) {
         group.next().submit(action).syncUninterruptibly();
     }
 
-    /** Returns when everything that was asked of the event loop before is done. */
-    void awaitLoop() {
+    /** Waits until the event loop has run everything submitted before. */
+    void awaitEventLoop() {
         run(() -> {});
     }
 
-    /** Breaks every connection and takes no more; may be called by a script. */
-    void die() {
-        // Queues the closing itself, so that awaitLoop() waits for it.
+    /** Closes every connection and accepts no more; may be called by a script. */
+    void crash() {
+        // Closes on the event loop, so that awaitEventLoop() waits for it.
         server.close();
     }
 
@@ -75,8 +75,8 @@
         group.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    /** Sends events of a stream, each with a text as its data. */
-    static void events(HttpExchange exchange, String... data) {
+    /** Sends server-sent events, one for each data text. */
+    static void sendEvents(HttpExchange exchange, String... data) {
         if (!exchange.started()) {
             exchange.begin(STATUS_OK, Map.of("content-type", "text/event-stream"));
         }
@@ -88,14 +88,14 @@
     private void handle(HttpExchange exchange) {
         requests.add(exchange);
         scripts.keySet().stream()
-                .filter(prefix -> text(exchange).startsWith(prefix))
+                .filter(prefix -> requestLine(exchange).startsWith(prefix))
                 .max((left, right) -> Integer.compare(left.length(), right.length()))
                 .ifPresentOrElse(
                         prefix -> scripts.get(prefix).handle(exchange),
                         () -> exchange.respondText(STATUS_NOT_FOUND, "no script"));
     }
 
-    private static String text(HttpExchange exchange) {
+    private static String requestLine(HttpExchange exchange) {
         return exchange.method() + " " + exchange.uri();
     }
 }
--- a/server/src/test/java/org/quetzalshunt/server/sidecar/FakeEntry.java
+++ b/server/src/test/java/org/quetzalshunt/server/sidecar/FakeEntry.java
@@ -30,15 +30,15 @@
 import org.quetzalshunt.wire.generated.EndpointReport;
 import org.quetzalshunt.wire.generated.Message;
 
-/** An entry's end of a link: sends what a test tells it, and keeps what comes. */
+/** The entry side of a link: sends messages for a test and records those that it receives. */
 final class FakeEntry implements LinkListener {
-    private static final long PATIENCE_MILLIS = 8_000;
-    private static final long LOOK_MILLIS = 5;
+    private static final long WAIT_TIMEOUT_MILLIS = 8_000;
+    private static final long POLL_INTERVAL_MILLIS = 5;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<Message> messages = new CopyOnWriteArrayList<>();
     private final LinkConnector connector;
-    private final AtomicInteger closings = new AtomicInteger();
+    private final AtomicInteger closeCount = new AtomicInteger();
     private volatile PeerLink link;
 
     private FakeEntry(VmId id, byte[] secret) {
@@ -64,8 +64,8 @@
         return link != null;
     }
 
-    int closings() {
-        return closings.get();
+    int closeCount() {
+        return closeCount.get();
     }
 
     void start(AttemptStart start) {
@@ -112,20 +112,20 @@
     }
 
     void close() {
-        group.shutdownGracefully(0, PATIENCE_MILLIS, TimeUnit.MILLISECONDS).syncUninterruptibly();
+        group.shutdownGracefully(0, WAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
     static void await(BooleanSupplier condition) {
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_TIMEOUT_MILLIS);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadline) {
-                throw new AssertionError("did not happen within " + PATIENCE_MILLIS + " ms");
+                throw new AssertionError("condition not met within " + WAIT_TIMEOUT_MILLIS + " ms");
             }
-            pause(LOOK_MILLIS);
+            sleep(POLL_INTERVAL_MILLIS);
         }
     }
 
-    static void pause(long millis) {
+    static void sleep(long millis) {
         try {
             Thread.sleep(millis);
         } catch (InterruptedException stopped) {
@@ -146,7 +146,7 @@
     @Override
     public void onClose(PeerLink closed) {
         link = null;
-        closings.incrementAndGet();
+        closeCount.incrementAndGet();
     }
 
     private Stream<AttemptEnd> ends(long attempt) {
--- a/server/src/test/java/org/quetzalshunt/server/sidecar/FakeModels.java
+++ b/server/src/test/java/org/quetzalshunt/server/sidecar/FakeModels.java
@@ -11,7 +11,7 @@
 import org.quetzalshunt.server.http.HttpExchange;
 import org.quetzalshunt.wire.json.Json;
 
-/** The orders of an engine that serves version 1 of a model, and a weight store beside it. */
+/** The order API of an engine that serves version 1 of a model, and a weight store beside it. */
 final class FakeModels {
     private final List<String> orders = new CopyOnWriteArrayList<>();
     private final Set<String> loadedVersions = new LinkedHashSet<>(Set.of("1"));
@@ -25,9 +25,9 @@
 
     static FakeModels on(FakeEndpoint endpoint, boolean storeIsBusyFirst) {
         FakeModels models = new FakeModels(endpoint, storeIsBusyFirst);
-        endpoint.on("GET /engine/load", exchange -> exchange.respondJson(200, models.load()));
+        endpoint.on("GET /engine/load", exchange -> exchange.respondJson(200, models.loadJson()));
         endpoint.on("GET /weights/tutor/2", models::weights);
-        endpoint.on("POST /engine/orders", models::take);
+        endpoint.on("POST /engine/orders", models::acceptOrder);
         endpoint.on("GET /engine/orders/", exchange -> exchange.respondJson(200, "{\"state\":\"done\"}"));
         return models;
     }
@@ -49,7 +49,7 @@
         exchange.respondJson(200, "{}");
     }
 
-    private void take(HttpExchange exchange) {
+    private void acceptOrder(HttpExchange exchange) {
         JsonNode order = Json.parse(exchange.body()).orElseThrow();
         String version = order.path("version").asText();
         String kind = order.path("order").asText();
@@ -63,7 +63,7 @@
         exchange.respondJson(202, "{\"order\":\"o-" + orders.size() + "\"}");
     }
 
-    private String load() {
+    private String loadJson() {
         ArrayNode models = Json.array();
         for (String version : loadedVersions) {
             models.add(Json.object().put("model", "tutor").put("version", version));
--- a/server/src/test/java/org/quetzalshunt/server/sidecar/SidecarBench.java
+++ b/server/src/test/java/org/quetzalshunt/server/sidecar/SidecarFixture.java
@@ -14,7 +14,7 @@
 import org.quetzalshunt.wire.generated.AttemptStart;
 
 /** A real sidecar on loopback with a fake endpoint and fake entries. */
-final class SidecarBench implements AutoCloseable {
+final class SidecarFixture implements AutoCloseable {
     static final byte[] SECRET = "a secret of the tests".getBytes(StandardCharsets.UTF_8);
     static final long ATTEMPT = 77;
     static final int SHARD = 3;
@@ -60,7 +60,7 @@
         return connect(VmId.of("entry-" + entries.size(), 1), SECRET, sidecar).awaitOpen();
     }
 
-    static AttemptStart order(boolean repeatable) {
+    static AttemptStart attemptStart(boolean repeatable) {
         AttemptStart start = new AttemptStart();
         start.setAttempt(ATTEMPT);
         start.setShard(SHARD);
@@ -76,7 +76,7 @@
         return start;
     }
 
-    /** Code and execution of an end, such as {@code OK RAN}. */
+    /** Result code and execution of an attempt, such as {@code OK RAN}. */
     static String outcome(AttemptEnd end) {
         return ResultCode.fromNumber(end.getResultCode()) + " " + Execution.fromNumber(end.getExecution());
     }
--- a/server/src/test/java/org/quetzalshunt/server/sidecar/SidecarProcessTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/sidecar/SidecarProcessTest.java
@@ -1,9 +1,9 @@
 package org.quetzalshunt.server.sidecar;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.quetzalshunt.server.sidecar.SidecarBench.ATTEMPT;
-import static org.quetzalshunt.server.sidecar.SidecarBench.order;
-import static org.quetzalshunt.server.sidecar.SidecarBench.outcome;
+import static org.quetzalshunt.server.sidecar.SidecarFixture.ATTEMPT;
+import static org.quetzalshunt.server.sidecar.SidecarFixture.attemptStart;
+import static org.quetzalshunt.server.sidecar.SidecarFixture.outcome;
 
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -23,22 +23,22 @@
 import org.quetzalshunt.wire.generated.AttemptStart;
 
 final class SidecarProcessTest {
-    private final SidecarBench bench = new SidecarBench();
+    private final SidecarFixture fixture = new SidecarFixture();
 
     @AfterEach
     void close() {
-        bench.close();
+        fixture.close();
     }
 
     @Test
-    void chatAnswerIsPassedOnEventByEventAndWithItsUsage() {
-        FakeEntry entry = bench.connect(bench.startSidecar(ServiceKind.ENGINE));
-        bench.endpoint.on(FakeEndpoint.CHAT, exchange -> {
-            FakeEndpoint.events(exchange, "{\"choices\":[{\"finish_reason\":\"stop\"}]}");
-            FakeEndpoint.events(exchange, "{\"usage\":{\"prompt_tokens\":9,\"completion_tokens\":2}}", "[DONE]");
+    void chatCompletionIsForwardedEventByEventWithItsUsage() {
+        FakeEntry entry = fixture.connect(fixture.startSidecar(ServiceKind.ENGINE));
+        fixture.endpoint.on(FakeEndpoint.CHAT, exchange -> {
+            FakeEndpoint.sendEvents(exchange, "{\"choices\":[{\"finish_reason\":\"stop\"}]}");
+            FakeEndpoint.sendEvents(exchange, "{\"usage\":{\"prompt_tokens\":9,\"completion_tokens\":2}}", "[DONE]");
             exchange.end();
         });
-        entry.start(order(true));
+        entry.start(attemptStart(true));
         AttemptEnd end = entry.awaitEnd(ATTEMPT);
         assertThat(outcome(end)).isEqualTo("OK RAN");
         assertThat(end.getChunks()).isEqualTo(2);
@@ -46,18 +46,18 @@
         assertThat(end.getFinishReason()).isEqualTo("stop");
         assertThat(entry.chunks(ATTEMPT)).hasSize(2);
         assertThat(entry.statuses(ATTEMPT)).containsExactly(200);
-        HttpExchange request = bench.endpoint.requests(FakeEndpoint.CHAT).get(0);
+        HttpExchange request = fixture.endpoint.requests(FakeEndpoint.CHAT).get(0);
         assertThat(request.header("x-cache-key")).isEqualTo(Optional.of("program"));
         assertThat(request.header("x-request-id")).isEqualTo(Optional.of("77"));
     }
 
-    // A caller's key stands in whatever header its client chose. An entry that passes all of them on by mistake must
-    // not show it to the endpoint, whose logs its team can read.
+    // Clients put a caller's key in different headers. If an entry forwards all of them by mistake, the sidecar must
+    // not pass a key on to the endpoint, whose logs its team can read.
     @Test
-    void plainAnswerIsPassedOnAsItIsAndWithoutAnyKey() {
-        FakeEntry entry = bench.connect(bench.startSidecar(ServiceKind.PLAIN));
-        bench.endpoint.on("POST /issues", exchange -> exchange.respondText(409, "twice"));
-        AttemptStart start = order(false);
+    void plainCallIsForwardedUnchangedAndWithoutAnyKey() {
+        FakeEntry entry = fixture.connect(fixture.startSidecar(ServiceKind.PLAIN));
+        fixture.endpoint.on("POST /issues", exchange -> exchange.respondText(409, "twice"));
+        AttemptStart start = attemptStart(false);
         start.setPath("/issues?year=3");
         start.setHeaders(new HashMap<>(
                 Map.of("Authorization", "Bearer k", "Cookie", "k", "X-Api-Key", "k", "Idempotency-Key", "i")));
@@ -65,18 +65,18 @@
         assertThat(outcome(entry.awaitEnd(ATTEMPT))).isEqualTo("OK RAN");
         assertThat(entry.statuses(ATTEMPT)).containsExactly(409);
         assertThat(entry.chunks(ATTEMPT)).containsExactly("twice");
-        List<String> names = bench.endpoint.requests("POST /issues?year=3").get(0).headers().stream()
+        List<String> names = fixture.endpoint.requests("POST /issues?year=3").get(0).headers().stream()
                 .map(header -> header.getKey())
                 .toList();
         assertThat(names).containsExactly("idempotency-key", "host", "content-length");
     }
 
     @Test
-    void reportsComeAtOnceAndWheneverWorkChanges() {
-        FakeEntry entry = bench.connect(bench.startSidecar(ServiceKind.ENGINE));
-        bench.endpoint.on(FakeEndpoint.CHAT, exchange -> FakeEndpoint.events(exchange, "{}"));
+    void reportsAreSentOnOpenAndWheneverTheLoadChanges() {
+        FakeEntry entry = fixture.connect(fixture.startSidecar(ServiceKind.ENGINE));
+        fixture.endpoint.on(FakeEndpoint.CHAT, exchange -> FakeEndpoint.sendEvents(exchange, "{}"));
         FakeEntry.await(() -> entry.reports().stream().anyMatch(report -> report.isHealthy()));
-        entry.start(order(true));
+        entry.start(attemptStart(true));
         FakeEntry.await(() -> entry.reports().stream().anyMatch(report -> report.getRunning() == 1));
         entry.cancel(ATTEMPT);
         assertThat(outcome(entry.awaitEnd(ATTEMPT))).isEqualTo("CANCELLED RAN");
@@ -85,14 +85,14 @@
         assertThat(entry.reports().get(entry.reports().size() - 1).getRunning()).isEqualTo(0);
         assertThat(entry.reports().get(0).getServiceName()).isEqualTo("tutor");
         FakeEntry.await(
-                () -> !bench.endpoint.requests("DELETE /engine/requests/77").isEmpty());
+                () -> !fixture.endpoint.requests("DELETE /engine/requests/77").isEmpty());
     }
 
     @ParameterizedTest
     @CsvSource({"/healthz, 200, alive", "/readyz, 200, ready", "/dump, 200, heldPrograms", "/other, 404, no such page"})
-    void pages(String path, int status, String part) throws Exception {
-        SidecarProcess sidecar = bench.startSidecar(ServiceKind.ENGINE);
-        FakeEntry entry = bench.connect(sidecar);
+    void statusPagesAnswer(String path, int status, String part) throws Exception {
+        SidecarProcess sidecar = fixture.startSidecar(ServiceKind.ENGINE);
+        FakeEntry entry = fixture.connect(sidecar);
         FakeEntry.await(() -> entry.reports().stream().anyMatch(report -> report.isHealthy()));
         URI page = URI.create("http://127.0.0.1:" + sidecar.httpPort() + path);
         HttpResponse<String> response = HttpClient.newHttpClient()
--- a/server/src/test/java/org/quetzalshunt/server/sidecar/OneAnswerServer.java
+++ b/server/src/test/java/org/quetzalshunt/server/sidecar/SingleResponseServer.java
@@ -7,19 +7,22 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** Answers one request on each connection as if it would keep it, and breaks it when a second one comes. */
-final class OneAnswerServer implements AutoCloseable {
+/**
+ * Answers one request on each connection without announcing a close, and closes the connection when a second request
+ * arrives.
+ */
+final class SingleResponseServer implements AutoCloseable {
     private static final byte[] ANSWER =
             "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n".getBytes(StandardCharsets.UTF_8);
 
     private final ServerSocket server = new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
 
-    private OneAnswerServer() throws IOException {
+    private SingleResponseServer() throws IOException {
         new Thread(this::accept).start();
     }
 
-    static OneAnswerServer start() throws IOException {
-        return new OneAnswerServer();
+    static SingleResponseServer start() throws IOException {
+        return new SingleResponseServer();
     }
 
     InetSocketAddress address() {
@@ -38,19 +41,19 @@
                 new Thread(() -> answer(connection)).start();
             }
         } catch (IOException closed) {
-            // The test is over.
+            // The test has closed the server.
         }
     }
 
     private static void answer(Socket connection) {
         try (connection) {
-            for (int octet = 0;
-                    octet != '}';
-                    octet = connection.getInputStream().read()) {}
+            for (int character = 0;
+                    character != '}';
+                    character = connection.getInputStream().read()) {}
             connection.getOutputStream().write(ANSWER);
             connection.getInputStream().read();
         } catch (IOException broken) {
-            // The client went away first, which is not what is tested.
+            // The client closed first, which these tests do not examine.
         }
     }
 }
