--- a/server/src/main/java/org/quetzalshunt/server/http/CallTimes.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/CallTimes.java
@@ -3,8 +3,8 @@
 /**
  * Time limits of one call, in milliseconds.
  *
- * @param connect for a new connection to be established
- * @param answer from the sending to the whole answer
- * @param reuse a pooled connection that rested longer is not used; 0 asks for a new connection
+ * @param connect for opening a new connection
+ * @param answer from sending the request to the end of the response
+ * @param reuse longest idle time of a pooled connection that is reused; 0 forces a new connection
  */
 public record CallTimes(long connect, long answer, long reuse) {}
--- a/server/src/main/java/org/quetzalshunt/server/http/ErrorBodies.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/ErrorBodies.java
@@ -6,13 +6,13 @@
 import org.quetzalshunt.core.result.Refusal;
 import org.quetzalshunt.wire.json.Json;
 
-/** The one shape of every error body: the OpenAI-style {@code error} object with the numbered code added. */
+/** Writes every error body in the same form: the OpenAI-style {@code error} object plus the numbered code. */
 public final class ErrorBodies {
     private static final long MILLIS_PER_SECOND = 1_000;
 
     private ErrorBodies() {}
 
-    /** Error body as JSON bytes. */
+    /** The error body as JSON bytes. */
     public static byte[] json(Refusal refusal, String requestId) {
         ObjectNode error = Json.object();
         error.put("message", refusal.code().meaning() + ": " + refusal.detail());
@@ -28,7 +28,7 @@
         return Json.bytes(root);
     }
 
-    /** Sends a refusal as a whole answer, with {@code Retry-After} where coming back is of use. */
+    /** Sends a refusal as a complete response, with {@code Retry-After} if a retry is useful. */
     public static void send(ResponseSink sink, Refusal refusal, String requestId) {
         Map<String, String> headers = new HashMap<>();
         headers.put("content-type", "application/json");
--- a/server/src/main/java/org/quetzalshunt/server/http/HttpCall.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/HttpCall.java
@@ -7,33 +7,33 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** One request under way. Ends exactly once. */
+/** One request in progress. Ends exactly once. */
 public final class HttpCall {
-    /** Takes back a connection that can be used again. */
+    /** Receives a connection that can be reused. */
     @FunctionalInterface
     interface Release {
-        void accept(Channel channel, long keepMillis);
+        void accept(Channel channel, long keepAliveMillis);
     }
 
     private final HttpResponseListener listener;
-    private final Predicate<HttpHeaders> own;
+    private final Predicate<HttpHeaders> isOwn;
     private final Release release;
     private Channel channel;
     private ScheduledFuture<?> timeout;
     private boolean sent;
     private boolean done;
 
-    private HttpCall(HttpResponseListener listener, Predicate<HttpHeaders> own, Release release) {
+    private HttpCall(HttpResponseListener listener, Predicate<HttpHeaders> isOwn, Release release) {
         this.listener = listener;
-        this.own = own;
+        this.isOwn = isOwn;
         this.release = release;
     }
 
-    static HttpCall create(HttpResponseListener listener, Predicate<HttpHeaders> own, Release release) {
-        return new HttpCall(listener, own, release);
+    static HttpCall create(HttpResponseListener listener, Predicate<HttpHeaders> isOwn, Release release) {
+        return new HttpCall(listener, isOwn, release);
     }
 
-    /** Gives the request up: the connection is closed, and the listener hears no more. */
+    /** Cancels the request: closes the connection and makes no further call to the listener. */
     public void cancel() {
         if (done) {
             return;
@@ -52,17 +52,17 @@
         }
         channel = connection;
         channel.pipeline().get(HttpCallHandler.class).attach(this);
-        timeout = channel.eventLoop().schedule(() -> timedOut(), timeoutMillis, TimeUnit.MILLISECONDS);
+        timeout = channel.eventLoop().schedule(() -> onTimeout(), timeoutMillis, TimeUnit.MILLISECONDS);
         channel.writeAndFlush(request).addListener(written -> {
             sent = written.isSuccess();
             if (!sent) {
-                fail("cannot send: " + written.cause().getMessage(), true);
+                fail("cannot send request: " + written.cause().getMessage(), true);
             }
         });
     }
 
-    boolean isOwn(HttpHeaders headers) {
-        return own.test(headers);
+    boolean isOwnResponse(HttpHeaders headers) {
+        return isOwn.test(headers);
     }
 
     void head(int status, HttpHeaders headers) {
@@ -78,16 +78,16 @@
     }
 
     /**
-     * The answer is whole. A connection whose request was answered before it was all sent is closed: the server goes on
-     * reading the rest of that request, and the next one's octets would be taken for it.
+     * Ends the call after a complete response. The connection is closed if the response came before the request was
+     * fully sent, because the server would read the next request on it as the rest of this one.
      */
-    void end(boolean reusable, long keepMillis) {
+    void end(boolean reusable, long keepAliveMillis) {
         if (done) {
             return;
         }
         finish();
         if (reusable && sent) {
-            release.accept(channel, keepMillis);
+            release.accept(channel, keepAliveMillis);
         } else {
             channel.close();
         }
@@ -105,8 +105,8 @@
         listener.onFailure(reason, requestMayHaveArrived);
     }
 
-    private void timedOut() {
-        fail("no whole answer in time", true);
+    private void onTimeout() {
+        fail("response not complete within the time limit", true);
     }
 
     private void finish() {
--- a/server/src/main/java/org/quetzalshunt/server/http/HttpCallHandler.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/HttpCallHandler.java
@@ -14,18 +14,20 @@
 import java.util.regex.Pattern;
 import org.tinylog.Logger;
 
-/** Hands what comes on a client connection to the call that uses it now. */
+/** Passes the responses on a client connection to the call that currently uses it. */
 final class HttpCallHandler extends SimpleChannelInboundHandler<HttpObject> {
     private static final Pattern KEEP_ALIVE_TIMEOUT = Pattern.compile("timeout\\s*=\\s*(\\d{1,6})");
     private static final long MILLIS_PER_SECOND = 1_000;
 
     private HttpCall call;
     private boolean keepAlive;
-    private long keepMillis = IdleConnection.UNSTATED;
-    /** A response that answers another request is passing. */
-    private boolean skipping;
-    /** Such a response came: what else comes on this connection cannot be told apart for sure. */
-    private boolean confused;
+    private long keepAliveMillis = IdleConnection.UNSTATED;
+    /** Whether the response being read is interim or belongs to another request. */
+    private boolean skippingResponse;
+    /**
+     * Whether a response to another request was received, after which responses can no longer be matched to requests.
+     */
+    private boolean outOfSync;
 
     void attach(HttpCall newCall) {
         call = newCall;
@@ -38,44 +40,44 @@
             return;
         }
         if (!message.decoderResult().isSuccess()) {
-            detach().fail("the answer cannot be decoded", true);
+            detach().fail("response cannot be decoded", true);
             return;
         }
         if (message instanceof HttpResponse response) {
-            head(response);
+            onHead(response);
         }
-        if (message instanceof HttpContent content && !skipping && call != null) {
+        if (message instanceof HttpContent content && !skippingResponse && call != null) {
             call.chunk(ByteBufUtil.getBytes(content.content()));
         }
         if (message instanceof LastHttpContent) {
-            last();
+            onLast();
         }
     }
 
-    private void head(HttpResponse response) {
+    private void onHead(HttpResponse response) {
         boolean interim = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-        boolean own = interim || call.isOwn(response.headers());
-        skipping = interim || !own;
-        confused |= !own;
-        if (skipping) {
+        boolean own = interim || call.isOwnResponse(response.headers());
+        skippingResponse = interim || !own;
+        outOfSync |= !own;
+        if (skippingResponse) {
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(response);
-        keepMillis = keepMillis(response.headers());
+        keepAliveMillis = keepAliveMillis(response.headers());
         call.head(response.status().code(), response.headers());
     }
 
-    private void last() {
-        if (skipping) {
-            skipping = false;
+    private void onLast() {
+        if (skippingResponse) {
+            skippingResponse = false;
             return;
         }
         if (call != null) {
-            detach().end(keepAlive && !confused, keepMillis);
+            detach().end(keepAlive && !outOfSync, keepAliveMillis);
         }
     }
 
-    private static long keepMillis(HttpHeaders headers) {
+    private static long keepAliveMillis(HttpHeaders headers) {
         String value = headers.get("keep-alive");
         if (value == null) {
             return IdleConnection.UNSTATED;
@@ -87,17 +89,17 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         if (call != null) {
-            detach().fail("the connection closed before the answer ended", true);
+            detach().fail("connection closed before the end of the response", true);
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (call != null) {
-            detach().fail("the connection broke: " + cause.getMessage(), true);
+            detach().fail("connection failed: " + cause.getMessage(), true);
         } else if (cause instanceof RuntimeException) {
-            // Thrown by a listener: a fault of this program, not of the connection.
-            Logger.error(cause, "a listener failed on an answer");
+            // Thrown by a listener, so a fault of this program and not of the connection.
+            Logger.error(cause, "response listener threw an exception");
         }
         context.close();
     }
--- a/server/src/main/java/org/quetzalshunt/server/http/HttpClient.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/HttpClient.java
@@ -31,19 +31,19 @@
 /**
  * HTTP/1.1 client with a pool of connections per address. All calls are made on its event loop.
  *
- * <p>A pooled connection can be closed by its server at the moment it is used again. The client does not repeat such
- * a request: the caller hears that it may have arrived, and decides.
+ * <p>A server can close a pooled connection just as a request is sent on it. The client does not repeat such a request
+ * but reports that it may have arrived; the caller decides whether to repeat it.
  */
 public final class HttpClient {
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
     private static final int MAXIMUM_IDLE_PER_ADDRESS = 64;
 
-    /** Pooled connections of calls that name no limit are used however long they rested. */
-    private static final long REUSE_ANY = Long.MAX_VALUE;
+    /** Lets a call reuse a pooled connection regardless of its idle time. */
+    private static final long NO_IDLE_LIMIT = Long.MAX_VALUE;
 
     /**
-     * TCP keep-alive, in seconds and probes. A connection whose other end lost power or whose path went silent is
-     * noticed after three seconds instead of never; the platform asks for short probes.
+     * TCP keep-alive, in seconds and probes. Detects within three seconds a connection whose peer lost power or whose
+     * path no longer delivers packets, which would otherwise go unnoticed; the platform asks for short probes.
      */
     private static final int KEEP_ALIVE_IDLE_SECONDS = 1;
 
@@ -63,7 +63,7 @@
         return new HttpClient(group);
     }
 
-    /** Sends a request; the listener hears what comes of it. */
+    /** Sends a request; the listener receives the response. */
     public HttpCall send(
             InetSocketAddress address,
             String method,
@@ -75,18 +75,18 @@
         HttpHeaders all = new DefaultHttpHeaders();
         headers.forEach(all::set);
         all.set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
-        CallTimes times = new CallTimes(CONNECT_TIMEOUT_MILLIS, timeoutMillis, REUSE_ANY);
+        CallTimes times = new CallTimes(CONNECT_TIMEOUT_MILLIS, timeoutMillis, NO_IDLE_LIMIT);
         return send(new OutboundRequest(address, method, uri, all, body), times, ignored -> true, listener);
     }
 
     /**
-     * Sends a request; the listener hears what comes of it.
+     * Sends a request; the listener receives the response.
      *
-     * @param own whether a response, by its headers, answers this request; one that does not is skipped, since a faulty
-     *     server may answer an earlier request of the connection once more
+     * @param isOwn whether a response, by its headers, belongs to this request; other responses are skipped, because a
+     *     faulty server may answer an earlier request on the connection a second time
      */
     public HttpCall send(
-            OutboundRequest outbound, CallTimes times, Predicate<HttpHeaders> own, HttpResponseListener listener) {
+            OutboundRequest outbound, CallTimes times, Predicate<HttpHeaders> isOwn, HttpResponseListener listener) {
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.valueOf(outbound.method()),
@@ -96,7 +96,8 @@
                 DefaultHttpHeadersFactory.trailersFactory().newHeaders());
         request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, outbound.body().length);
         InetSocketAddress address = outbound.address();
-        HttpCall call = HttpCall.create(listener, own, (channel, keepMillis) -> release(address, channel, keepMillis));
+        HttpCall call = HttpCall.create(
+                listener, isOwn, (channel, keepAliveMillis) -> release(address, channel, keepAliveMillis));
         Channel pooled = takeIdle(address, times.reuse());
         if (pooled != null) {
             call.start(pooled, request, times.answer());
@@ -106,7 +107,7 @@
         return call;
     }
 
-    /** Finds out whether an address takes a connection now. */
+    /** Checks whether an address accepts a connection. */
     public void probe(InetSocketAddress address, long connectMillis, Consumer<Boolean> listener) {
         connectionsOpened++;
         ChannelFuture connecting = new Bootstrap()
@@ -121,7 +122,7 @@
         });
     }
 
-    /** Drops every idle connection. */
+    /** Closes every idle connection. */
     public void close() {
         idle.values()
                 .forEach(connections ->
@@ -169,7 +170,7 @@
         }
         long now = nowMillis();
         for (IdleConnection each = connections.pollLast(); each != null; each = connections.pollLast()) {
-            if (each.usable(now, reuseMillis)) {
+            if (each.isUsable(now, reuseMillis)) {
                 return each.channel();
             }
             each.channel().close();
@@ -177,13 +178,13 @@
         return null;
     }
 
-    private void release(InetSocketAddress address, Channel channel, long keepMillis) {
+    private void release(InetSocketAddress address, Channel channel, long keepAliveMillis) {
         Deque<IdleConnection> connections = idle.computeIfAbsent(address, ignored -> new ArrayDeque<>());
         if (!channel.isActive() || connections.size() >= MAXIMUM_IDLE_PER_ADDRESS) {
             channel.close();
             return;
         }
-        connections.addLast(new IdleConnection(channel, nowMillis(), keepMillis));
+        connections.addLast(new IdleConnection(channel, nowMillis(), keepAliveMillis));
     }
 
     private static long nowMillis() {
--- a/server/src/main/java/org/quetzalshunt/server/http/HttpConnection.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/HttpConnection.java
@@ -16,7 +16,7 @@
 import org.quetzalshunt.core.result.ResultCode;
 import org.tinylog.Logger;
 
-/** One connection: runs its requests one after the other, so that answers leave in the order of their requests. */
+/** One server connection. Handles its requests one after the other, so that responses are sent in request order. */
 final class HttpConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final int MAXIMUM_PIPELINED = 16;
 
@@ -59,7 +59,7 @@
         run(context, request);
     }
 
-    boolean idle() {
+    boolean isIdle() {
         return current == null && pipelined.isEmpty();
     }
 
@@ -72,7 +72,7 @@
     }
 
     private void run(ChannelHandlerContext context, FullHttpRequest request) {
-        current = HttpExchange.of(context, request, () -> context.executor().execute(() -> next(context)));
+        current = HttpExchange.of(context, request, () -> context.executor().execute(() -> runNext(context)));
         if (!request.decoderResult().isSuccess()) {
             refuse(request.decoderResult().cause());
             return;
@@ -81,13 +81,13 @@
         try {
             handler.handle(exchange);
         } catch (RuntimeException problem) {
-            Logger.error(problem, "a handler failed on {} {}", exchange.method(), exchange.path());
+            Logger.error(problem, "request handler threw an exception on {} {}", exchange.method(), exchange.path());
             ErrorBodies.send(exchange, Refusal.notRun(ResultCode.INTERNAL_ERROR, "see this VM's log"), "");
             exchange.abort();
         }
     }
 
-    private void next(ChannelHandlerContext context) {
+    private void runNext(ChannelHandlerContext context) {
         current = null;
         FullHttpRequest request = pipelined.poll();
         if (request == null || !context.channel().isActive()) {
--- a/server/src/main/java/org/quetzalshunt/server/http/HttpExchange.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/HttpExchange.java
@@ -25,7 +25,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One request and the way back to its sender. Used on the connection's event loop only. */
+/** One request and its response. Used on the event loop of the connection only. */
 public final class HttpExchange implements ResponseSink {
     private static final String BEARER = "Bearer ";
 
@@ -35,23 +35,23 @@
     private final HttpHeaders headers;
     private final byte[] body;
     private boolean keepAlive;
-    private final Runnable whenDone;
+    private final Runnable doneAction;
     private final List<Runnable> closeActions = new ArrayList<>();
     private boolean started;
     private boolean finished;
 
-    private HttpExchange(ChannelHandlerContext context, FullHttpRequest request, Runnable whenDone) {
+    private HttpExchange(ChannelHandlerContext context, FullHttpRequest request, Runnable doneAction) {
         this.context = context;
         this.method = request.method().name();
         this.target = new QueryStringDecoder(request.uri());
         this.headers = request.headers().copy();
         this.body = ByteBufUtil.getBytes(request.content());
         this.keepAlive = HttpUtil.isKeepAlive(request);
-        this.whenDone = whenDone;
+        this.doneAction = doneAction;
     }
 
-    static HttpExchange of(ChannelHandlerContext context, FullHttpRequest request, Runnable whenDone) {
-        return new HttpExchange(context, request, whenDone);
+    static HttpExchange of(ChannelHandlerContext context, FullHttpRequest request, Runnable doneAction) {
+        return new HttpExchange(context, request, doneAction);
     }
 
     /** Method, such as {@code POST}. */
@@ -64,7 +64,7 @@
         return target.path();
     }
 
-    /** Path with the query, as it came. */
+    /** Path with the query, as received. */
     public String uri() {
         return target.uri();
     }
@@ -75,34 +75,36 @@
         return values == null || values.isEmpty() ? Optional.empty() : Optional.of(values.get(0));
     }
 
-    /** Value of a header, by name in any case. */
+    /** Value of a header; the name is case-insensitive. */
     public Optional<String> header(String name) {
         return Optional.ofNullable(headers.get(name));
     }
 
-    /** Bearer token (RFC 6750, section 2.1), possibly an empty one; empty when the request has none. */
+    /**
+     * Bearer token (RFC 6750, section 2.1), which may be an empty text; no value if the request has no bearer token.
+     */
     public Optional<String> bearerToken() {
         return header("authorization")
                 .filter(value -> value.regionMatches(true, 0, BEARER, 0, BEARER.length()))
                 .map(value -> value.substring(BEARER.length()).trim());
     }
 
-    /** All headers in the order in which they came. */
+    /** All headers in the order in which they were received. */
     public List<Map.Entry<String, String>> headers() {
         return headers.entries();
     }
 
-    /** All headers as they came; not to be changed. */
+    /** All headers as received; must not be modified. */
     public HttpHeaders rawHeaders() {
         return headers;
     }
 
-    /** The connection closes once the answer is out. To be called before the answer begins. */
+    /** Closes the connection after the response. Must be called before the response begins. */
     public void closeAfterAnswer() {
         keepAlive = false;
     }
 
-    /** Body as it came. */
+    /** Body as received. */
     public byte[] body() {
         return body;
     }
@@ -112,7 +114,7 @@
         respond(status, headersOf(responseHeaders), data);
     }
 
-    /** Sends a whole answer with headers that may repeat; length and connection headers are set here. */
+    /** Sends a complete response with headers that may repeat; sets the length and connection headers. */
     public void respond(int status, HttpHeaders responseHeaders, byte[] data) {
         if (finished || started) {
             return;
@@ -121,18 +123,18 @@
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(data));
         response.headers().set(responseHeaders);
         response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, data.length);
-        setConnection(response);
+        setConnectionHeader(response);
         started = true;
         finish();
         writeAndMaybeClose(response);
     }
 
-    /** Sends a whole answer of JSON text. */
+    /** Sends a complete JSON response. */
     public void respondJson(int status, String json) {
         respond(status, Map.of("content-type", "application/json"), json.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Sends a whole answer of plain text. */
+    /** Sends a complete plain-text response. */
     public void respondText(int status, String text) {
         respond(status, Map.of("content-type", "text/plain; charset=utf-8"), text.getBytes(StandardCharsets.UTF_8));
     }
@@ -142,7 +144,7 @@
         begin(status, headersOf(responseHeaders));
     }
 
-    /** Sends status and headers that may repeat; framing and connection headers are set here. */
+    /** Sends the status and headers that may repeat; sets the framing and connection headers. */
     public void begin(int status, HttpHeaders responseHeaders) {
         if (finished || started) {
             return;
@@ -150,7 +152,7 @@
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
         response.headers().set(responseHeaders);
         HttpUtil.setTransferEncodingChunked(response, true);
-        setConnection(response);
+        setConnectionHeader(response);
         started = true;
         context.writeAndFlush(response);
     }
@@ -213,10 +215,10 @@
 
     private void finish() {
         finished = true;
-        whenDone.run();
+        doneAction.run();
     }
 
-    private void setConnection(HttpResponse response) {
+    private void setConnectionHeader(HttpResponse response) {
         response.headers()
                 .set(HttpHeaderNames.CONNECTION, keepAlive ? HttpHeaderValues.KEEP_ALIVE : HttpHeaderValues.CLOSE);
     }
--- a/server/src/main/java/org/quetzalshunt/server/http/HttpLimits.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/HttpLimits.java
@@ -1,15 +1,16 @@
 package org.quetzalshunt.server.http;
 
 /**
- * Bounds of a server.
+ * Limits of a server.
  *
- * @param maximumHeaderBytes all headers of a request together
- * @param maximumBodyBytes body of a request
- * @param idleMillis time in which a request must arrive whole, and a connection may rest between requests
- * @param maximumConnections connections open at once
+ * @param maximumHeaderBytes size of all headers of a request together
+ * @param maximumBodyBytes size of the body of a request
+ * @param requestTimeoutMillis time in which a request must arrive completely
+ * @param maximumConnections connections open at the same time
  */
-public record HttpLimits(int maximumHeaderBytes, int maximumBodyBytes, long idleMillis, int maximumConnections) {
-    /** Values that hold a turn of 170,000 tokens of history (about 1 MB of JSON) with room to spare. */
+public record HttpLimits(
+        int maximumHeaderBytes, int maximumBodyBytes, long requestTimeoutMillis, int maximumConnections) {
+    /** Default limits. A turn with 170,000 tokens of history (about 1 MB of JSON) is well within them. */
     public static HttpLimits defaults() {
         return new HttpLimits(16 * 1024, 8 * 1024 * 1024, 30_000, 4_096);
     }
--- a/server/src/main/java/org/quetzalshunt/server/http/HttpResponseListener.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/HttpResponseListener.java
@@ -2,19 +2,19 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Hears one answer, on the event loop: a head, chunks, then exactly one of end and failure. */
+/** Receives one response on the event loop: the head, any chunks, then exactly one of end and failure. */
 public interface HttpResponseListener {
-    /** Status and headers came. */
+    /** Called with the status and headers. */
     void onHead(int status, HttpHeaders headers);
 
-    /** A part of the body came. */
+    /** Called with a part of the body. */
     void onChunk(byte[] data);
 
-    /** The answer ended whole. */
+    /** Called when the response is complete. */
     void onEnd();
 
     /**
-     * No whole answer will come.
+     * Called when the response will not complete.
      *
      * @param requestMayHaveArrived false only when no byte of the request can have left this process
      */
--- a/server/src/main/java/org/quetzalshunt/server/http/HttpResponses.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/HttpResponses.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.Map;
 
-/** Answers written outside an exchange, when no request could be read. */
+/** Writes responses outside an exchange, when the request could not be read. */
 final class HttpResponses {
     private HttpResponses() {}
 
--- a/server/src/main/java/org/quetzalshunt/server/http/HttpServer.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/HttpServer.java
@@ -14,7 +14,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** A listening HTTP/1.1 server on an event loop that its owner gives it. */
+/** An HTTP/1.1 server on an event loop supplied by its owner. */
 public final class HttpServer {
     private static final int MAXIMUM_INITIAL_LINE_BYTES = 4_096;
     private static final int MAXIMUM_CHUNK_BYTES = 64 * 1024;
@@ -27,7 +27,10 @@
         this.connections = connections;
     }
 
-    /** Binds and starts to serve; a taken address fails with a {@link java.net.BindException}, unchecked by Netty. */
+    /**
+     * Binds and starts to serve; throws a {@link java.net.BindException}, unchecked through Netty, when the address is
+     * taken.
+     */
     public static HttpServer start(
             EventLoopGroup group, InetSocketAddress address, HttpLimits limits, HttpHandler handler) {
         Set<Channel> connections = new HashSet<>();
@@ -43,7 +46,7 @@
                         connection
                                 .pipeline()
                                 .addLast(new HttpServerCodec(strict(limits)))
-                                .addLast(new RequestArrivalTimeout(limits.idleMillis()))
+                                .addLast(new RequestArrivalTimeout(limits.requestTimeoutMillis()))
                                 .addLast(new HttpObjectAggregator(limits.maximumBodyBytes()))
                                 .addLast(new HttpConnection(limits, handler, connections));
                     }
@@ -55,8 +58,9 @@
     }
 
     /**
-     * Rejects what two parsers could read differently: a length beside a chunked body, several lengths, bare line
-     * feeds. Guards against a second request hidden inside another's body, which would run under the outer one's key.
+     * Rejects requests that two parsers could read differently: a length together with a chunked body, several lengths,
+     * bare line feeds. Guards against request smuggling: a second request hidden in the body of another, which would
+     * run under the key of the outer one.
      */
     private static HttpDecoderConfig strict(HttpLimits limits) {
         return new HttpDecoderConfig()
@@ -67,32 +71,35 @@
                 .setUseRfc9112TransferEncoding(true);
     }
 
-    /** Port in use, also when port 0 was asked for. */
+    /** Bound port, also when port 0 was requested. */
     public int port() {
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Connections open now. Call on the event loop. */
+    /** Number of open connections. Call on the event loop. */
     public int connections() {
         return connections.size();
     }
 
-    /** Takes no new connections; those open go on. */
+    /** Accepts no new connections; open ones continue. */
     public void stopAccepting() {
         channel.close();
     }
 
-    /** Closes the connections on which no request is under way. Call on the event loop. */
+    /** Closes the connections without a request in progress. Call on the event loop. */
     public void closeIdle() {
         for (Channel connection : Set.copyOf(connections)) {
             HttpConnection handler = connection.pipeline().get(HttpConnection.class);
-            if (handler != null && handler.idle()) {
+            if (handler != null && handler.isIdle()) {
                 connection.close();
             }
         }
     }
 
-    /** Takes no new connections and breaks those open, on the event loop, where connections come and go. */
+    /**
+     * Accepts no new connections and closes the open ones. Runs on the event loop, which also opens and removes
+     * connections.
+     */
     public void close() {
         if (channel.eventLoop().isShuttingDown()) {
             return;
--- a/server/src/main/java/org/quetzalshunt/server/http/RequestArrivalTimeout.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/RequestArrivalTimeout.java
@@ -8,9 +8,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes a connection on which a request began and did not arrive whole in time. Guards against slow senders that
- * would hold connections until none is left; shows as a rising number of connections without requests. Time is
- * counted from the first byte of the request and not from the last, so that a trickle does not extend it.
+ * Closes a connection on which a request does not arrive completely within the time limit. Guards against slow senders
+ * that would occupy all connections, visible as a rising number of connections without requests. The time starts when
+ * the connection opens, or at the head of a later request, and is not extended by further bytes, so that a slow trickle
+ * is cut off too.
  */
 final class RequestArrivalTimeout extends ChannelInboundHandlerAdapter {
     private final long limitMillis;
@@ -22,32 +23,32 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) throws Exception {
-        arm(context);
+        startTimeout(context);
         super.channelActive(context);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
         if (message instanceof HttpRequest && timeout == null) {
-            arm(context);
+            startTimeout(context);
         }
         if (message instanceof LastHttpContent) {
-            disarm();
+            cancelTimeout();
         }
         super.channelRead(context, message);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) throws Exception {
-        disarm();
+        cancelTimeout();
         super.channelInactive(context);
     }
 
-    private void arm(ChannelHandlerContext context) {
+    private void startTimeout(ChannelHandlerContext context) {
         timeout = context.executor().schedule(() -> context.close(), limitMillis, TimeUnit.MILLISECONDS);
     }
 
-    private void disarm() {
+    private void cancelTimeout() {
         if (timeout != null) {
             timeout.cancel(false);
             timeout = null;
--- a/server/src/main/java/org/quetzalshunt/server/http/ResponseSink.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/ResponseSink.java
@@ -2,29 +2,29 @@
 
 import java.util.Map;
 
-/** Where an answer goes: to a caller's connection, or to another entry that holds the connection. */
+/** Destination of a response: the connection of a caller, or another entry that holds that connection. */
 public interface ResponseSink {
-    /** Sends a whole answer. */
+    /** Sends a complete response. */
     void respond(int status, Map<String, String> headers, byte[] body);
 
-    /** Sends status and headers of an answer whose length is not known yet. */
+    /** Sends the status and headers of a response of unknown length. */
     void begin(int status, Map<String, String> headers);
 
     /** Sends a part of the body, after {@link #begin}. */
     void write(byte[] data);
 
-    /** Ends the answer whole, after {@link #begin}. */
+    /** Completes the response, after {@link #begin}. */
     void end();
 
-    /** Breaks the answer off in a way that the receiver notices: the end mark is never sent. */
+    /** Aborts the response in a way that the receiver notices: the final chunk is never sent. */
     void abort();
 
-    /** Runs once when the receiver goes away before the answer ended. */
+    /** Registers an action that runs once if the receiver disconnects before the response ended. */
     void onClose(Runnable action);
 
     /** Whether {@link #begin} or {@link #respond} was called. */
     boolean started();
 
-    /** Whether the answer ended or the receiver is gone. */
+    /** Whether the response ended or the receiver disconnected. */
     boolean finished();
 }
--- a/server/src/main/java/org/quetzalshunt/server/http/WholeAnswer.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/WholeAnswer.java
@@ -3,14 +3,14 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.io.ByteArrayOutputStream;
 
-/** Gathers an answer of bounded size and hands it on once. */
+/** Buffers a response of limited size and passes it to the receiver once. */
 public final class WholeAnswer implements HttpResponseListener {
-    /** Hears the one end of a call. */
+    /** Receives the result of a call, exactly once. */
     public interface Receiver {
-        /** The whole answer. */
+        /** Called with the complete response. */
         void onAnswer(int status, byte[] body);
 
-        /** No whole answer; see {@link HttpResponseListener#onFailure}. */
+        /** Called when no complete response is available; see {@link HttpResponseListener#onFailure}. */
         void onFailure(String reason, boolean requestMayHaveArrived);
     }
 
@@ -25,14 +25,14 @@
         this.maximumBytes = maximumBytes;
     }
 
-    /** Makes a listener that answers the receiver once. */
+    /** Creates a listener that passes the result to the receiver. */
     public static WholeAnswer to(Receiver receiver, int maximumBytes) {
         return new WholeAnswer(receiver, maximumBytes);
     }
 
     @Override
-    public void onHead(int answerStatus, HttpHeaders headers) {
-        status = answerStatus;
+    public void onHead(int responseStatus, HttpHeaders headers) {
+        status = responseStatus;
     }
 
     @Override
@@ -46,7 +46,7 @@
     @Override
     public void onEnd() {
         if (tooLarge) {
-            receiver.onFailure("the answer is larger than " + maximumBytes + " octets", true);
+            receiver.onFailure("response is larger than " + maximumBytes + " bytes", true);
             return;
         }
         receiver.onAnswer(status, body.toByteArray());
--- a/server/src/test/java/org/quetzalshunt/server/http/IdleConnectionTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/http/IdleConnectionTest.java
@@ -10,7 +10,10 @@
 final class IdleConnectionTest {
     private static final long UNSTATED = IdleConnection.UNSTATED;
 
-    /** Guards against requests that cross a server's close, and against a new connection for each rarely used server. */
+    /**
+     * Guards against requests that are sent while the server closes the connection, and against opening a new
+     * connection for each request to a rarely used server.
+     */
     @ParameterizedTest
     @CsvSource({
         "4000, " + UNSTATED + ", 4000, true",
@@ -21,16 +24,18 @@
         "1600, 2000, 4000, false",
         "0, 10000, 0, false"
     })
-    void isUsedWithinWhatTheServerStates(long restedMillis, long keepMillis, long reuseMillis, boolean usable) {
-        IdleConnection connection = new IdleConnection(new EmbeddedChannel(), 1_000, keepMillis);
-        assertThat(connection.usable(1_000 + restedMillis, reuseMillis)).isEqualTo(usable);
+    void connectionIsNotReusedBeyondItsIdleLimit(
+            long restedMillis, long keepAliveMillis, long reuseMillis, boolean usable) {
+        IdleConnection connection = new IdleConnection(new EmbeddedChannel(), 1_000, keepAliveMillis);
+        assertThat(connection.isUsable(1_000 + restedMillis, reuseMillis)).isEqualTo(usable);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {10_000, UNSTATED})
-    void closedConnectionIsNotUsed(long keepMillis) {
+    void closedConnectionIsNotUsed(long keepAliveMillis) {
         EmbeddedChannel channel = new EmbeddedChannel();
         channel.close();
-        assertThat(new IdleConnection(channel, 0, keepMillis).usable(1, 4_000)).isFalse();
+        assertThat(new IdleConnection(channel, 0, keepAliveMillis).isUsable(1, 4_000))
+                .isFalse();
     }
 }
