--- a/server/src/main/java/org/quetzalshunt/server/log/LogClient.java
+++ b/server/src/main/java/org/quetzalshunt/server/log/LogClient.java
@@ -15,17 +15,20 @@
 import org.tinylog.Logger;
 
 /**
- * Carries the calls of stream sessions to the log service and its answers back. Each call has a deadline. After a
- * failed call the next one goes to the next address configured.
+ * Client of the log service: sends the appends and reads of stream sessions and passes the responses back to them. Each
+ * call has a time limit. After a failed call, the next one goes to the next configured address.
  */
 public final class LogClient implements LogTransport {
-    private static final long DEADLINE_MILLIS = 3_000;
-    private static final int READ_BYTES = 4 * 1024 * 1024;
+    private static final long TIMEOUT_MILLIS = 3_000;
+    private static final int MAXIMUM_READ_BYTES = 4 * 1024 * 1024;
 
-    /** Records come in base64, four octets for three, and the log may add one record of 1 MiB to what was asked. */
-    private static final int MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024;
+    /**
+     * Records are base64 text, four bytes for three, and the service may exceed the requested size by one record of 1
+     * MiB.
+     */
+    private static final int MAXIMUM_RESPONSE_BYTES = 16 * 1024 * 1024;
 
-    private static final int OK = 200;
+    private static final int STATUS_OK = 200;
     private static final int FIRST_CLIENT_ERROR = 400;
     private static final int FIRST_SERVER_ERROR = 500;
 
@@ -33,7 +36,7 @@
     private final List<InetSocketAddress> addresses;
     private final LongSupplier clock;
     private final Map<String, StreamSession> sessions = new HashMap<>();
-    private int current;
+    private int addressIndex;
     private long appends;
     private long failures;
 
@@ -44,29 +47,29 @@
     }
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
      * @param addresses at least one address of the log service
-     * @param clock the process's time in milliseconds, as its sessions get it
+     * @param clock the current time in milliseconds, the same as the sessions use
      */
     public static LogClient create(HttpClient http, List<InetSocketAddress> addresses, LongSupplier clock) {
         if (addresses.isEmpty()) {
-            throw new IllegalArgumentException("the log service needs an address");
+            throw new IllegalArgumentException("at least one address of the log service is required");
         }
         return new LogClient(http, addresses, clock);
     }
 
-    /** Routes the answers for a stream to its session; to be called before the session's first tick. */
+    /** Routes the responses for a stream to its session; must be called before the first tick of the session. */
     public void attach(StreamSession session) {
         sessions.put(session.stream(), session);
     }
 
-    /** Appends sent since the start. */
+    /** Number of appends sent since the start. */
     public long appends() {
         return appends;
     }
 
-    /** Calls that got no good answer since the start. */
+    /** Number of calls without a valid response since the start. */
     public long failures() {
         return failures;
     }
@@ -74,74 +77,76 @@
     @Override
     public void append(String stream, byte[] batch) {
         appends++;
-        send("POST", "/log/" + stream, batch, DEADLINE_MILLIS, new WholeAnswer.Receiver() {
+        send("POST", "/log/" + stream, batch, TIMEOUT_MILLIS, new WholeAnswer.Receiver() {
             @Override
             public void onAnswer(int status, byte[] body) {
-                appendAnswered(stream, status, body);
+                onAppendResponse(stream, status, body);
             }
 
             @Override
             public void onFailure(String reason, boolean requestMayHaveArrived) {
-                appendFailed(stream, reason, requestMayHaveArrived);
+                onAppendFailure(stream, reason, requestMayHaveArrived);
             }
         });
     }
 
     @Override
     public void read(String stream, long from, long waitMillis) {
-        String uri = "/log/" + stream + "?from=" + from + "&maximumBytes=" + READ_BYTES + "&waitMillis=" + waitMillis;
-        send("GET", uri, new byte[0], waitMillis + DEADLINE_MILLIS, new WholeAnswer.Receiver() {
+        String uri = "/log/" + stream + "?from=" + from + "&maximumBytes=" + MAXIMUM_READ_BYTES + "&waitMillis="
+                + waitMillis;
+        send("GET", uri, new byte[0], waitMillis + TIMEOUT_MILLIS, new WholeAnswer.Receiver() {
             @Override
             public void onAnswer(int status, byte[] body) {
-                readAnswered(stream, status, body);
+                onReadResponse(stream, status, body);
             }
 
             @Override
             public void onFailure(String reason, boolean requestMayHaveArrived) {
-                readFailed(stream, reason);
+                onReadFailure(stream, reason);
             }
         });
     }
 
-    private void send(String method, String uri, byte[] body, long deadlineMillis, WholeAnswer.Receiver receiver) {
-        InetSocketAddress address = addresses.get(current % addresses.size());
-        http.send(address, method, uri, Map.of(), body, deadlineMillis, WholeAnswer.to(receiver, MAXIMUM_ANSWER_BYTES));
+    private void send(String method, String uri, byte[] body, long timeoutMillis, WholeAnswer.Receiver receiver) {
+        InetSocketAddress address = addresses.get(addressIndex % addresses.size());
+        http.send(
+                address, method, uri, Map.of(), body, timeoutMillis, WholeAnswer.to(receiver, MAXIMUM_RESPONSE_BYTES));
     }
 
-    private void appendAnswered(String stream, int status, byte[] body) {
-        OptionalLong offset = status == OK ? LogAnswers.appended(body) : OptionalLong.empty();
+    private void onAppendResponse(String stream, int status, byte[] body) {
+        OptionalLong offset = status == STATUS_OK ? LogResponseParser.parseAppend(body) : OptionalLong.empty();
         if (offset.isEmpty()) {
-            // A refusal for what the request is (413, 429) has no effect. A server error may come from something in
-            // between that gave up waiting while the log went on.
+            // A client error such as 413 or 429 means that the append had no effect. A server error may come from an
+            // intermediary that timed out while the log service completed the append.
             boolean refused = status >= FIRST_CLIENT_ERROR && status < FIRST_SERVER_ERROR;
-            appendFailed(stream, "status " + status, !refused);
+            onAppendFailure(stream, "status " + status, !refused);
             return;
         }
         session(stream).ifPresent(session -> session.onAppended(clock.getAsLong(), offset.getAsLong()));
     }
 
-    private void appendFailed(String stream, String reason, boolean mayHaveTakenEffect) {
-        failed("append to", stream, reason);
+    private void onAppendFailure(String stream, String reason, boolean mayHaveTakenEffect) {
+        recordFailure("append to", stream, reason);
         session(stream).ifPresent(session -> session.onAppendFailed(clock.getAsLong(), mayHaveTakenEffect));
     }
 
-    private void readAnswered(String stream, int status, byte[] body) {
-        Optional<ReadAnswer> answer = status == OK ? LogAnswers.read(body) : Optional.empty();
+    private void onReadResponse(String stream, int status, byte[] body) {
+        Optional<ReadAnswer> answer = status == STATUS_OK ? LogResponseParser.parseRead(body) : Optional.empty();
         if (answer.isEmpty()) {
-            readFailed(stream, "status " + status);
+            onReadFailure(stream, "status " + status);
             return;
         }
         session(stream).ifPresent(session -> session.onRead(clock.getAsLong(), answer.get()));
     }
 
-    private void readFailed(String stream, String reason) {
-        failed("read of", stream, reason);
+    private void onReadFailure(String stream, String reason) {
+        recordFailure("read of", stream, reason);
         session(stream).ifPresent(session -> session.onReadFailed(clock.getAsLong()));
     }
 
-    private void failed(String call, String stream, String reason) {
+    private void recordFailure(String call, String stream, String reason) {
         failures++;
-        current = (current + 1) % addresses.size();
+        addressIndex = (addressIndex + 1) % addresses.size();
         Logger.debug("{} stream {} failed: {}", call, stream, reason);
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/log/LogResponseParser.java
+++ b/server/src/main/java/org/quetzalshunt/server/log/LogResponseParser.java
@@ -10,12 +10,12 @@
 import org.quetzalshunt.core.log.ReadAnswer;
 import org.quetzalshunt.wire.json.Json;
 
-/** Bodies of the log service's answers. */
-final class LogAnswers {
-    private LogAnswers() {}
+/** Parses the response bodies of the log service. */
+final class LogResponseParser {
+    private LogResponseParser() {}
 
-    /** Offset of an append; empty when the body is none of an append. */
-    static OptionalLong appended(byte[] body) {
+    /** Offset of an append; empty when the body is not a valid append response. */
+    static OptionalLong parseAppend(byte[] body) {
         return Json.parse(body)
                 .map(answer -> answer.path("offset"))
                 .filter(JsonNode::isIntegralNumber)
@@ -23,9 +23,9 @@
                 .orElse(OptionalLong.empty());
     }
 
-    /** Answer of a read; empty when the body is none, or a record in it cannot be decoded. */
-    static Optional<ReadAnswer> read(byte[] body) {
-        return Json.parse(body).flatMap(LogAnswers::toReadAnswer);
+    /** Result of a read; empty when the body is not a valid read response or a record in it cannot be decoded. */
+    static Optional<ReadAnswer> parseRead(byte[] body) {
+        return Json.parse(body).flatMap(LogResponseParser::toReadAnswer);
     }
 
     private static Optional<ReadAnswer> toReadAnswer(JsonNode answer) {
--- a/server/src/main/java/org/quetzalshunt/server/log/package-info.java
+++ b/server/src/main/java/org/quetzalshunt/server/log/package-info.java
@@ -1,2 +1,2 @@
-/** Client of the platform's log service (docs/PLATFORM.md), on the process's event loop. */
+/** Client of the log service of the platform (docs/PLATFORM.md), on the event loop of the process. */
 package org.quetzalshunt.server.log;
--- a/server/src/test/java/org/quetzalshunt/server/log/LogClientTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/log/LogClientTest.java
@@ -31,7 +31,7 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<byte[]> records = new ArrayList<>();
     private final BlockingQueue<String> folded = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Submission> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Submission> submissions = new LinkedBlockingQueue<>();
     private final HttpServer server = HttpServer.start(
             group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), HttpLimits.defaults(), this::serve);
     private volatile String nextFault = "";
@@ -99,18 +99,18 @@
     }
 
     private Submission submit(StreamSession session, String record) throws InterruptedException {
-        group.execute(
-                () -> session.submit(System.currentTimeMillis(), record.getBytes(StandardCharsets.UTF_8), heard::add));
-        return heard.poll(10, TimeUnit.SECONDS);
+        group.execute(() ->
+                session.submit(System.currentTimeMillis(), record.getBytes(StandardCharsets.UTF_8), submissions::add));
+        return submissions.poll(10, TimeUnit.SECONDS);
     }
 
     /**
-     * An operator's change goes to the log, and the log's answer is lost, cut, refused or unreadable. Whichever it is,
-     * the change must be in the log once, and its author told the offset at which it is.
+     * The response to the append of an operator's change is lost, cut, refused or malformed. In each case the log must
+     * contain the change once, and its author must get the offset of it.
      */
     @ParameterizedTest
     @ValueSource(strings = {"none", "lostAnswer", "cut", "429", "503", "nonsense"})
-    void aRecordIsFoldedOnceWhateverBecomesOfItsAppend(String fault) throws InterruptedException {
+    void recordIsAppliedOnceWhenItsAppendFails(String fault) throws InterruptedException {
         StreamSession session = start(List.of(address()));
         assertThat(submit(session, "first")).isEqualTo(Submission.folded(0));
         nextFault = fault;
@@ -120,9 +120,9 @@
     }
 
     @Test
-    void afterAFailureTheNextAddressIsAsked() throws InterruptedException {
-        InetSocketAddress nobody = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-        StreamSession session = start(List.of(nobody, address()));
+    void nextAddressIsUsedAfterAFailure() throws InterruptedException {
+        InetSocketAddress unreachable = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+        StreamSession session = start(List.of(unreachable, address()));
         assertThat(submit(session, "record")).isEqualTo(Submission.folded(0));
     }
 
@@ -135,7 +135,8 @@
                 "{\"first\":0,\"next\":1,\"records\":[{\"offset\":0}]}",
                 "{\"first\":0,\"next\":1,\"records\":[{\"offset\":0,\"data\":\"=%\"}]}",
             })
-    void anAnswerThatIsNoneIsNone(String body) {
-        assertThat(LogAnswers.read(body.getBytes(StandardCharsets.UTF_8))).isEmpty();
+    void malformedReadResponseIsRejected(String body) {
+        assertThat(LogResponseParser.parseRead(body.getBytes(StandardCharsets.UTF_8)))
+                .isEmpty();
     }
 }
