--- a/server/src/main/java/org/quetzalshunt/server/transport/LinkChannelInitializer.java
+++ b/server/src/main/java/org/quetzalshunt/server/transport/LinkChannelInitializer.java
@@ -16,34 +16,37 @@
 import org.quetzalshunt.wire.generated.Message;
 import org.quetzalshunt.wire.message.MessageCodec;
 
-/** Frames: four bytes of length, then one message. */
-final class LinkPipeline extends ChannelInitializer<SocketChannel> {
+/** Sets up the channel of a link. A frame is a length of four bytes followed by one message. */
+final class LinkChannelInitializer extends ChannelInitializer<SocketChannel> {
     private static final int LENGTH_BYTES = 4;
 
-    /** Frames written in one turn of the event loop leave in one write; more of them than this do not wait for it. */
-    private static final int FLUSHES_TOGETHER = 256;
+    /** Frames written in one iteration of the event loop are flushed together; a flush is forced after this many. */
+    private static final int MAXIMUM_CONSOLIDATED_FLUSHES = 256;
 
     private final LinkSettings settings;
     private final LinkListener listener;
-    private final boolean connector;
+    private final boolean isConnector;
 
-    LinkPipeline(LinkSettings settings, LinkListener listener, boolean connector) {
+    LinkChannelInitializer(LinkSettings settings, LinkListener listener, boolean isConnector) {
         this.settings = settings;
         this.listener = listener;
-        this.connector = connector;
+        this.isConnector = isConnector;
     }
 
     @Override
     protected void initChannel(SocketChannel channel) {
         channel.pipeline()
-                .addLast(new ReadTimeoutHandler(settings.silenceMillis(), TimeUnit.MILLISECONDS))
-                .addLast(new FlushConsolidationHandler(FLUSHES_TOGETHER, true))
+                .addLast(new ReadTimeoutHandler(settings.idleTimeoutMillis(), TimeUnit.MILLISECONDS))
+                .addLast(new FlushConsolidationHandler(MAXIMUM_CONSOLIDATED_FLUSHES, true))
                 .addLast(new LengthFieldBasedFrameDecoder(MessageCodec.MAXIMUM_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
                 .addLast(new FrameCodec())
-                .addLast(new LinkHandler(settings, listener, connector));
+                .addLast(new LinkHandler(settings, listener, isConnector));
     }
 
-    /** An unknown message of a newer version is passed over, so that a rolling upgrade works both ways. */
+    /**
+     * Encodes and decodes frames. Ignores unknown messages of newer versions, so that old and new processes can
+     * communicate during a rolling upgrade.
+     */
     private static final class FrameCodec extends MessageToMessageCodec<ByteBuf, Message> {
         @Override
         protected void encode(ChannelHandlerContext context, Message message, List<Object> out) {
--- a/server/src/main/java/org/quetzalshunt/server/transport/LinkConnector.java
+++ b/server/src/main/java/org/quetzalshunt/server/transport/LinkConnector.java
@@ -12,16 +12,16 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Keeps one link open to each wanted address, connecting again with a growing delay. Runs on the event loop. */
+/** Keeps one link open to each configured address and reconnects with an increasing delay. Used on the event loop. */
 public final class LinkConnector {
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
-    private static final long FIRST_DELAY_MILLIS = 100;
-    private static final long LARGEST_DELAY_MILLIS = 2_000;
+    private static final long INITIAL_DELAY_MILLIS = 100;
+    private static final long MAXIMUM_DELAY_MILLIS = 2_000;
 
     private final EventLoopGroup group;
     private final LinkSettings settings;
     private final LinkListener listener;
-    private final Map<InetSocketAddress, Wanted> wanted = new HashMap<>();
+    private final Map<InetSocketAddress, ReconnectingLink> links = new HashMap<>();
 
     private LinkConnector(EventLoopGroup group, LinkSettings settings, LinkListener listener) {
         this.group = group;
@@ -29,34 +29,34 @@
         this.listener = listener;
     }
 
-    /** Makes a connector that wants no link yet. */
+    /** Creates a connector without addresses. */
     public static LinkConnector create(EventLoopGroup group, LinkSettings settings, LinkListener listener) {
         return new LinkConnector(group, settings, listener);
     }
 
-    /** Sets the addresses to which a link is wanted; links to others are closed. */
+    /** Sets the addresses to keep links to; closes the links to all others. */
     public void want(Set<InetSocketAddress> addresses) {
-        for (InetSocketAddress address : Set.copyOf(wanted.keySet())) {
+        for (InetSocketAddress address : Set.copyOf(links.keySet())) {
             if (!addresses.contains(address)) {
-                wanted.remove(address).close();
+                links.remove(address).close();
             }
         }
         for (InetSocketAddress address : addresses) {
-            if (!wanted.containsKey(address)) {
-                Wanted link = new Wanted(address);
-                wanted.put(address, link);
+            if (!links.containsKey(address)) {
+                ReconnectingLink link = new ReconnectingLink(address);
+                links.put(address, link);
                 link.connect();
             }
         }
     }
 
-    private final class Wanted {
+    private final class ReconnectingLink {
         private final InetSocketAddress address;
-        private long delayMillis = FIRST_DELAY_MILLIS;
+        private long delayMillis = INITIAL_DELAY_MILLIS;
         private boolean closed;
         private Channel channel;
 
-        Wanted(InetSocketAddress address) {
+        ReconnectingLink(InetSocketAddress address) {
             this.address = address;
         }
 
@@ -69,14 +69,14 @@
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
-                    .handler(new LinkPipeline(settings, listener, true))
+                    .handler(new LinkChannelInitializer(settings, listener, true))
                     .connect(address);
             connecting.addListener(result -> connected(connecting));
         }
 
         private void connected(ChannelFuture connecting) {
             if (!connecting.isSuccess()) {
-                connectLater();
+                scheduleConnect();
                 return;
             }
             channel = connecting.channel();
@@ -84,16 +84,16 @@
                 channel.close();
                 return;
             }
-            delayMillis = FIRST_DELAY_MILLIS;
-            channel.closeFuture().addListener(gone -> connectLater());
+            delayMillis = INITIAL_DELAY_MILLIS;
+            channel.closeFuture().addListener(gone -> scheduleConnect());
         }
 
-        private void connectLater() {
+        private void scheduleConnect() {
             if (closed) {
                 return;
             }
             group.next().schedule(this::connect, delayMillis, TimeUnit.MILLISECONDS);
-            delayMillis = Math.min(LARGEST_DELAY_MILLIS, delayMillis * 2);
+            delayMillis = Math.min(MAXIMUM_DELAY_MILLIS, delayMillis * 2);
         }
 
         void close() {
--- a/server/src/main/java/org/quetzalshunt/server/transport/LinkHandler.java
+++ b/server/src/main/java/org/quetzalshunt/server/transport/LinkHandler.java
@@ -12,24 +12,25 @@
 import org.tinylog.Logger;
 
 /**
- * Opens a link and then hands its messages on. Guards against a stranger on the network who would give orders to a
- * sidecar: nothing is handed on before the other side proved the secret, and an unproved connection is closed soon.
+ * Performs the handshake of a link and then passes its messages to the listener. Guards against unauthorised peers on
+ * the network that would give orders to a sidecar: no message is passed on before the peer has proved the shared
+ * secret, and a connection without proof is closed after the handshake timeout.
  */
 final class LinkHandler extends SimpleChannelInboundHandler<Message> {
     static final int PROTOCOL_VERSION = 1;
-    private static final long HANDSHAKE_MILLIS = 3_000;
+    private static final long HANDSHAKE_TIMEOUT_MILLIS = 3_000;
 
     private final LinkSettings settings;
     private final LinkListener listener;
-    private final boolean connector;
+    private final boolean isConnector;
     private Hello ownHello;
     private Hello remoteHello;
     private PeerLink link;
 
-    LinkHandler(LinkSettings settings, LinkListener listener, boolean connector) {
+    LinkHandler(LinkSettings settings, LinkListener listener, boolean isConnector) {
         this.settings = settings;
         this.listener = listener;
-        this.connector = connector;
+        this.isConnector = isConnector;
     }
 
     @Override
@@ -41,9 +42,10 @@
                 self.id().incarnation(),
                 self.role().name(),
                 self.dataCentre(),
-                java.nio.ByteBuffer.wrap(LinkProof.challenge()));
+                java.nio.ByteBuffer.wrap(LinkProof.newChallenge()));
         context.writeAndFlush(Message.hello(ownHello));
-        context.executor().schedule(() -> closeUnproved(context), HANDSHAKE_MILLIS, TimeUnit.MILLISECONDS);
+        context.executor()
+                .schedule(() -> closeUnauthenticated(context), HANDSHAKE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -86,16 +88,16 @@
             return;
         }
         remoteHello = hello;
-        byte[] proof = LinkProof.prove(settings.secret(), hello.getChallenge(), ownHello, connector);
+        byte[] proof = LinkProof.computeProof(settings.secret(), hello.getChallenge(), ownHello, isConnector);
         context.writeAndFlush(Message.helloProof(new HelloProof(java.nio.ByteBuffer.wrap(proof))));
     }
 
     private void onProof(ChannelHandlerContext context, HelloProof proof) {
-        byte[] expected = LinkProof.prove(settings.secret(), ownHello.getChallenge(), remoteHello, !connector);
+        byte[] expected = LinkProof.computeProof(settings.secret(), ownHello.getChallenge(), remoteHello, !isConnector);
         Optional<VmRole> role = role(remoteHello.getRole());
         if (proof.getProof() == null || !LinkProof.verify(expected, proof.getProof()) || role.isEmpty()) {
             Logger.warn(
-                    "refused a link from {}: no proof of the shared secret",
+                    "refused link from {}: peer did not prove the shared secret or has an unknown role",
                     context.channel().remoteAddress());
             context.close();
             return;
@@ -105,7 +107,7 @@
         listener.onOpen(link);
     }
 
-    private void closeUnproved(ChannelHandlerContext context) {
+    private void closeUnauthenticated(ChannelHandlerContext context) {
         if (link == null) {
             context.close();
         }
--- a/server/src/main/java/org/quetzalshunt/server/transport/LinkListener.java
+++ b/server/src/main/java/org/quetzalshunt/server/transport/LinkListener.java
@@ -2,14 +2,17 @@
 
 import org.quetzalshunt.wire.generated.Message;
 
-/** Hears what happens on links, on the event loop. */
+/** Receives the events of links, on the event loop. */
 public interface LinkListener {
-    /** Both sides proved the secret. */
+    /** Called when both sides have proved the shared secret. */
     void onOpen(PeerLink link);
 
-    /** A message came, in the order in which the other side sent it. */
+    /** Called for each message, in the order in which the peer sent them. */
     void onMessage(PeerLink link, Message message);
 
-    /** The link is gone; messages sent last may or may not have arrived. Heard once for each {@link #onOpen}. */
+    /**
+     * Called once for each {@link #onOpen} when the link has closed; the last messages sent may or may not have
+     * arrived.
+     */
     void onClose(PeerLink link);
 }
--- a/server/src/main/java/org/quetzalshunt/server/transport/LinkProof.java
+++ b/server/src/main/java/org/quetzalshunt/server/transport/LinkProof.java
@@ -10,9 +10,10 @@
 import org.quetzalshunt.wire.generated.Hello;
 
 /**
- * Challenge and response over the shared secret: HMAC-SHA256 (RFC 2104) over the receiver's challenge and the
- * sender's own hello. The challenge is fresh for each connection, so a recorded proof is of no use again, and the
- * sender's role is part of it, so a proof cannot be reflected to its sender as another role's.
+ * Challenge-response authentication with the shared secret: HMAC-SHA256 (RFC 2104) over the challenge of the receiver
+ * and the hello of the sender. The challenge is new for each connection, so that a recorded proof cannot be replayed.
+ * The proof includes which side opened the connection and the sender's role, so that it cannot be reflected to its
+ * sender.
  */
 final class LinkProof {
     static final int CHALLENGE_BYTES = 32;
@@ -21,17 +22,17 @@
 
     private LinkProof() {}
 
-    static byte[] challenge() {
+    static byte[] newChallenge() {
         byte[] challenge = new byte[CHALLENGE_BYTES];
         RANDOM.nextBytes(challenge);
         return challenge;
     }
 
-    static byte[] prove(byte[] secret, byte[] challengeOfReceiver, Hello sender, boolean sentByConnector) {
+    static byte[] computeProof(byte[] secret, byte[] receiverChallenge, Hello sender, boolean sentByConnector) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
             mac.init(new SecretKeySpec(secret, ALGORITHM));
-            mac.update(challengeOfReceiver);
+            mac.update(receiverChallenge);
             mac.update((byte) (sentByConnector ? 1 : 0));
             mac.update(ByteBuffer.allocate(Long.BYTES)
                     .putLong(sender.getIncarnation())
--- a/server/src/main/java/org/quetzalshunt/server/transport/LinkServer.java
+++ b/server/src/main/java/org/quetzalshunt/server/transport/LinkServer.java
@@ -9,7 +9,7 @@
 import java.net.InetSocketAddress;
 import org.tinylog.Logger;
 
-/** Takes links from other processes. */
+/** Accepts links from other processes. */
 public final class LinkServer {
     private final Channel channel;
 
@@ -17,19 +17,21 @@
         this.channel = channel;
     }
 
-    /** Binds and starts to take links; not to be called on the event loop, since it waits. */
+    /** Binds and starts to accept links. Blocks, so it must not be called on the event loop. */
     public static LinkServer start(
             EventLoopGroup group, InetSocketAddress address, LinkSettings settings, LinkListener listener) {
         return new LinkServer(
                 bind(group, address, settings, listener).syncUninterruptibly().channel());
     }
 
-    /** Binds without waiting, for callers on the event loop; a taken address is logged, and no link comes. */
+    /**
+     * Binds without blocking, for callers on the event loop. A failure to bind is logged, and no link is then accepted.
+     */
     public static void startLater(
             EventLoopGroup group, InetSocketAddress address, LinkSettings settings, LinkListener listener) {
         bind(group, address, settings, listener).addListener(bound -> {
             if (!bound.isSuccess()) {
-                Logger.error(bound.cause(), "cannot take links at {}", address);
+                Logger.error(bound.cause(), "cannot listen for links at {}", address);
             }
         });
     }
@@ -41,16 +43,16 @@
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new LinkPipeline(settings, listener, false))
+                .childHandler(new LinkChannelInitializer(settings, listener, false))
                 .bind(address);
     }
 
-    /** Port in use, also when port 0 was asked for. */
+    /** Bound port, also when port 0 was requested. */
     public int port() {
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Takes no new links; those open stay. */
+    /** Accepts no new links; open links continue. */
     public void close() {
         channel.close();
     }
--- a/server/src/main/java/org/quetzalshunt/server/transport/LinkSettings.java
+++ b/server/src/main/java/org/quetzalshunt/server/transport/LinkSettings.java
@@ -1,18 +1,21 @@
 package org.quetzalshunt.server.transport;
 
 /**
- * What every link of a process shares.
+ * Settings that all links of a process share.
  *
- * @param self who this process is
+ * @param self identity of this process
  * @param secret the deployment's shared secret
- * @param silenceMillis silence after which a link is taken for dead; above several heartbeat intervals
+ * @param idleTimeoutMillis time without data after which a link is closed; several heartbeat intervals
  */
-public record LinkSettings(LinkIdentity self, byte[] secret, long silenceMillis) {
-    /** Five seconds hold five heartbeats: one lost to a pause does not cut a link, a half-open one shows in time. */
-    public static final long DEFAULT_SILENCE_MILLIS = 5_000;
+public record LinkSettings(LinkIdentity self, byte[] secret, long idleTimeoutMillis) {
+    /**
+     * Five seconds are five heartbeat intervals: one heartbeat missed during a pause does not close the link, and a
+     * half-open link is detected in time.
+     */
+    public static final long DEFAULT_IDLE_TIMEOUT_MILLIS = 5_000;
 
-    /** Settings with the default silence. */
+    /** Settings with the default idle timeout. */
     public static LinkSettings of(LinkIdentity self, byte[] secret) {
-        return new LinkSettings(self, secret.clone(), DEFAULT_SILENCE_MILLIS);
+        return new LinkSettings(self, secret.clone(), DEFAULT_IDLE_TIMEOUT_MILLIS);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/transport/PeerLink.java
+++ b/server/src/main/java/org/quetzalshunt/server/transport/PeerLink.java
@@ -3,7 +3,7 @@
 import io.netty.channel.Channel;
 import org.quetzalshunt.wire.generated.Message;
 
-/** One open link. Used on its event loop only. */
+/** An open link to another process. Used on its event loop only. */
 public final class PeerLink {
     private final Channel channel;
     private final LinkIdentity remote;
@@ -17,27 +17,27 @@
         return new PeerLink(channel, remote);
     }
 
-    /** Who is at the other end, as it proved when the link opened. */
+    /** Identity of the peer, as proved in the handshake. */
     public LinkIdentity remote() {
         return remote;
     }
 
-    /** Sends a message; nothing tells whether it arrives. */
+    /** Sends a message without confirmation of its arrival. */
     public void send(Message message) {
         channel.writeAndFlush(message);
     }
 
-    /** Whether messages can be sent. */
+    /** Whether the link is still open. */
     public boolean isOpen() {
         return channel.isActive();
     }
 
-    /** Whether the other side keeps up; false while more than Netty's high-water mark is unsent. */
+    /** Whether the peer reads fast enough; false while the unsent data exceeds the high-water mark of Netty. */
     public boolean isWritable() {
         return channel.isWritable();
     }
 
-    /** Closes the link after what was sent before. */
+    /** Closes the link after the messages sent before. */
     public void close() {
         channel.close();
     }
