--- a/server/src/main/java/org/quetzalshunt/server/settings/EntryCommand.java
+++ b/server/src/main/java/org/quetzalshunt/server/settings/EntryCommand.java
@@ -13,14 +13,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code quetzalshunt entry}: takes callers' and operators' requests. */
+/** {@code quetzalshunt entry}: runs an entry, which serves the HTTP APIs of callers and operators. */
 @Command(
         name = "entry",
         mixinStandardHelpOptions = true,
         sortOptions = false,
-        description = "Takes callers' and operators' HTTP, owns programs, and decides what runs where.")
+        description = "Serves callers' and operators' HTTP APIs, owns programs, and schedules requests on endpoints.")
 public final class EntryCommand implements Callable<Integer> {
-    private static final int MOST_SHARDS = 1_024;
+    private static final int MAXIMUM_SHARDS = 1_024;
 
     @Spec
     private CommandSpec spec;
@@ -31,23 +31,25 @@
     @Option(
             names = "--shards",
             defaultValue = "${env:QUETZALSHUNT_SHARDS:-16}",
-            description = "shards of programs, equal at all entries and for ever ($QUETZALSHUNT_SHARDS, default: 16)")
+            description =
+                    "number of program shards, fixed and equal at all entries ($QUETZALSHUNT_SHARDS, default: 16)")
     private int shards;
 
     @Option(
             names = "--commit-millis",
             defaultValue = "${env:QUETZALSHUNT_COMMIT_MILLIS:-50}",
-            description = "time for which a shard's records are gathered into one append ($QUETZALSHUNT_COMMIT_MILLIS,"
-                    + " default: 50)")
+            description =
+                    "time for which the records of a shard are collected into one append ($QUETZALSHUNT_COMMIT_MILLIS,"
+                            + " default: 50)")
     private long commitMillis;
 
     @Option(
             names = "--operator-keys",
             defaultValue = "${env:QUETZALSHUNT_OPERATOR_KEYS:-}",
-            description = "operators' keys as team=SHA256 pairs with commas between ($QUETZALSHUNT_OPERATOR_KEYS)")
+            description = "keys of operators as comma-separated team=SHA256 pairs ($QUETZALSHUNT_OPERATOR_KEYS)")
     private String operatorKeys;
 
-    /** Made by picocli. */
+    /** Instantiated by picocli. */
     public EntryCommand() {}
 
     @Override
@@ -63,17 +65,17 @@
                 checks.name("--vm", process.vm),
                 System.currentTimeMillis(),
                 checks.name("--data-centre", process.dataCentre),
-                checks.ipNumber("--host", process.host),
+                checks.ipAddress("--host", process.host),
                 checks.port("--http-port", process.httpPort),
                 checks.port("--link-port", process.linkPort),
                 platform.orElse(null),
                 checks.secret(ProcessOptions.SECRET_FLAG, process.secret).getBytes(StandardCharsets.UTF_8),
-                (int) checks.range("--shards", shards, 1, MOST_SHARDS),
+                (int) checks.range("--shards", shards, 1, MAXIMUM_SHARDS),
                 checks.range("--commit-millis", commitMillis, 1, 10_000),
                 teams,
                 checks.range("--stop-millis", process.stopMillis, 0, 600_000));
         if (!checks.problems().isEmpty()) {
-            return SettingsReport.tell(spec, checks.problems());
+            return SettingsReport.printProblems(spec, checks.problems());
         }
         EntryProcess entry = EntryProcess.start(settings);
         return Lifecycle.run(entry.httpPort(), entry.linkPort(), settings.stopMillis(), entry::stop);
--- a/server/src/main/java/org/quetzalshunt/server/settings/HangUp.java
+++ b/server/src/main/java/org/quetzalshunt/server/settings/HangUp.java
@@ -5,8 +5,8 @@
 import org.tinylog.Logger;
 
 /**
- * The hang-up signal, which tells that the settings file changed. Left alone, the JVM ends on it as on a request to stop,
- * and a reload would cut every request under way.
+ * Handles the signal SIGHUP, which announces a change of the settings file. By default the JVM shuts down on it, so
+ * that a reload would abort every request in progress.
  */
 public final class HangUp {
     private static final String SIGNAL_CLASS = "sun.misc.Signal";
@@ -15,8 +15,9 @@
     private HangUp() {}
 
     /**
-     * Runs an action on each hang-up instead of ending. The JDK's only way to take a signal is a class of its unsupported
-     * module, reached by name so that a JVM without it still runs: there the signal stays as it is, which is logged.
+     * Runs an action on each SIGHUP instead of shutting down. The only signal API of the JDK is a class of its
+     * unsupported module. It is loaded by name so that a JVM without it still runs; there the default stays in effect,
+     * which is logged.
      */
     public static void handle(Runnable action) {
         try {
@@ -33,7 +34,8 @@
             signal.getMethod("handle", signal, handler).invoke(null, hangUp, proxy);
         } catch (ReflectiveOperationException | IllegalArgumentException unavailable) {
             Throwable cause = unavailable instanceof InvocationTargetException ? unavailable.getCause() : unavailable;
-            Logger.warn("the hang-up signal cannot be taken, and will end this process: {}", cause.toString());
+            Logger.warn(
+                    "cannot install a handler for SIGHUP, which will therefore end this process: {}", cause.toString());
         }
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/settings/Lifecycle.java
+++ b/server/src/main/java/org/quetzalshunt/server/settings/Lifecycle.java
@@ -9,11 +9,11 @@
 import org.quetzalshunt.wire.json.Json;
 import org.tinylog.Logger;
 
-/** Runs a process until a signal asks it to stop, then stops it in the planned way. */
+/** Runs a process until a signal requests its stop, then performs a planned stop. */
 public final class Lifecycle {
     private Lifecycle() {}
 
-    /** Prints a line of JSON with the ports, waits for SIGTERM or SIGINT, and stops within a bounded time. */
+    /** Prints the ports as one line of JSON, waits for SIGTERM or SIGINT, and stops within a time limit. */
     public static int run(int httpPort, int linkPort, long stopMillis, Supplier<CompletableFuture<Void>> stop) {
         System.out.println(
                 Json.object().put("ready", true).put("httpPort", httpPort).put("linkPort", linkPort));
@@ -21,7 +21,7 @@
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
-                            stopPlanned(stopMillis, stop);
+                            stopGracefully(stopMillis, stop);
                             stopped.countDown();
                         },
                         "planned-stop"));
@@ -33,13 +33,13 @@
         return 0;
     }
 
-    private static void stopPlanned(long stopMillis, Supplier<CompletableFuture<Void>> stop) {
+    private static void stopGracefully(long stopMillis, Supplier<CompletableFuture<Void>> stop) {
         try {
             stop.get().get(stopMillis + 1_000, TimeUnit.MILLISECONDS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException late) {
-            Logger.warn("the planned stop did not end in time: {}", late.toString());
+            Logger.warn("planned stop did not complete within the time limit: {}", late.toString());
         }
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/settings/ProcessOptions.java
+++ b/server/src/main/java/org/quetzalshunt/server/settings/ProcessOptions.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.Option;
 
-/** Settings that entries and sidecars share. */
+/** Options common to entries and sidecars. */
 final class ProcessOptions {
     static final String SECRET_FLAG = "--secret";
 
@@ -23,20 +23,19 @@
     @Option(
             names = "--host",
             defaultValue = "${env:QUETZALSHUNT_HOST:-127.0.0.1}",
-            description = "IP number to listen on ($QUETZALSHUNT_HOST, default: 127.0.0.1)")
+            description = "IP address to listen on ($QUETZALSHUNT_HOST, default: 127.0.0.1)")
     String host;
 
     @Option(
             names = "--http-port",
             defaultValue = "${env:QUETZALSHUNT_HTTP_PORT:-0}",
-            description = "HTTP port; 0 takes a free one ($QUETZALSHUNT_HTTP_PORT, default: 0)")
+            description = "HTTP port; 0 for any free port ($QUETZALSHUNT_HTTP_PORT, default: 0)")
     int httpPort;
 
     @Option(
             names = "--link-port",
             defaultValue = "${env:QUETZALSHUNT_LINK_PORT:-0}",
-            description =
-                    "port for the system's own processes; 0 takes a free one ($QUETZALSHUNT_LINK_PORT, default: 0)")
+            description = "port for links between processes; 0 for any free port ($QUETZALSHUNT_LINK_PORT, default: 0)")
     int linkPort;
 
     @Option(
@@ -50,15 +49,15 @@
             names = SECRET_FLAG,
             required = true,
             defaultValue = "${env:QUETZALSHUNT_SECRET}",
-            description = "secret that all processes of the deployment share; better set by $QUETZALSHUNT_SECRET")
+            description = "secret shared by all processes of the deployment; preferably set in $QUETZALSHUNT_SECRET")
     String secret;
 
     @Option(
             names = "--stop-millis",
             defaultValue = "${env:QUETZALSHUNT_STOP_MILLIS:-30000}",
-            description = "longest time of a planned stop ($QUETZALSHUNT_STOP_MILLIS, default: 30000)")
+            description = "maximum duration of a planned stop ($QUETZALSHUNT_STOP_MILLIS, default: 30000)")
     long stopMillis;
 
-    @Option(names = "--print-settings", description = "print the settings in force with their origin, and exit")
+    @Option(names = "--print-settings", description = "print the effective settings with their origin, and exit")
     boolean printSettings;
 }
--- a/server/src/main/java/org/quetzalshunt/server/settings/SettingProblem.java
+++ b/server/src/main/java/org/quetzalshunt/server/settings/SettingProblem.java
@@ -1,9 +1,9 @@
 package org.quetzalshunt.server.settings;
 
 /**
- * A setting that is wrong.
+ * An invalid setting.
  *
- * @param flag flag that sets it
- * @param expected what a right value is
+ * @param flag flag of the setting
+ * @param expected description of the valid values
  */
 public record SettingProblem(String flag, String expected) {}
--- a/server/src/main/java/org/quetzalshunt/server/settings/SettingsReport.java
+++ b/server/src/main/java/org/quetzalshunt/server/settings/SettingsReport.java
@@ -8,18 +8,18 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Model.OptionSpec;
 
-/** Prints settings with their origin, and problems with their code. */
+/** Prints settings with their origin, and invalid settings with their error code. */
 final class SettingsReport {
-    static final int EXIT_WRONG_SETTING = 2;
+    static final int EXIT_INVALID_SETTING = 2;
     private static final Set<String> SECRETS = Set.of(ProcessOptions.SECRET_FLAG);
-    private static final Set<String> NO_SETTINGS = Set.of("--help", "--version", "--print-settings");
+    private static final Set<String> COMMAND_FLAGS = Set.of("--help", "--version", "--print-settings");
 
     private SettingsReport() {}
 
     static void print(CommandSpec spec) {
         PrintWriter out = spec.commandLine().getOut();
         for (OptionSpec option : spec.options()) {
-            if (NO_SETTINGS.contains(option.longestName())) {
+            if (COMMAND_FLAGS.contains(option.longestName())) {
                 continue;
             }
             Object value = option.getValue();
@@ -39,8 +39,8 @@
         return System.getenv(variable) != null ? "$" + variable : "default";
     }
 
-    /** Tells every problem; the result is the exit code. */
-    static int tell(CommandSpec spec, List<SettingProblem> problems) {
+    /** Prints every problem and returns the exit code. */
+    static int printProblems(CommandSpec spec, List<SettingProblem> problems) {
         PrintWriter error = spec.commandLine().getErr();
         for (SettingProblem problem : problems) {
             error.printf(
@@ -51,6 +51,6 @@
                     problem.expected());
         }
         error.flush();
-        return EXIT_WRONG_SETTING;
+        return EXIT_INVALID_SETTING;
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/settings/SidecarCommand.java
+++ b/server/src/main/java/org/quetzalshunt/server/settings/SidecarCommand.java
@@ -15,15 +15,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code quetzalshunt sidecar}: the only gate to one endpoint. */
+/** {@code quetzalshunt sidecar}: runs the sidecar of one endpoint, through which all requests to it pass. */
 @Command(
         name = "sidecar",
         mixinStandardHelpOptions = true,
         sortOptions = false,
-        description = "Runs beside one endpoint and gives it its work, once each.")
+        description = "Runs beside one endpoint and executes the attempts that entries send to it.")
 public final class SidecarCommand implements Callable<Integer> {
-    /** Within the time of a planned stop, kept for telling what was cut at the end of the drain. */
-    private static final long LAST_FRAMES_MILLIS = 1_000;
+    /** Part of the planned stop that remains after the drain to report the attempts cut at its end. */
+    private static final long FINAL_FRAMES_MILLIS = 1_000;
 
     @Spec
     private CommandSpec spec;
@@ -41,7 +41,7 @@
     @Option(
             names = "--kind",
             defaultValue = "${env:QUETZALSHUNT_KIND:-engine}",
-            description = "what the endpoint is: engine or plain ($QUETZALSHUNT_KIND, default: engine)")
+            description = "kind of the endpoint: engine or plain ($QUETZALSHUNT_KIND, default: engine)")
     private String kind;
 
     @Option(
@@ -51,7 +51,7 @@
             description = "address of the endpoint, as IP:port ($QUETZALSHUNT_ENDPOINT)")
     private String endpoint;
 
-    /** Made by picocli. */
+    /** Instantiated by picocli. */
     public SidecarCommand() {}
 
     @Override
@@ -69,7 +69,7 @@
         SidecarSettings settings = SidecarSettings.of(
                 VmId.of(checks.name("--vm", process.vm), System.currentTimeMillis()),
                 checks.name("--data-centre", process.dataCentre),
-                checks.ipNumber("--host", process.host),
+                checks.ipAddress("--host", process.host),
                 checks.port("--link-port", process.linkPort),
                 checks.port("--http-port", process.httpPort),
                 checks.name("--service", service),
@@ -78,9 +78,9 @@
                 platform,
                 checks.secret(ProcessOptions.SECRET_FLAG, process.secret).getBytes(StandardCharsets.UTF_8));
         if (!checks.problems().isEmpty()) {
-            return SettingsReport.tell(spec, checks.problems());
+            return SettingsReport.printProblems(spec, checks.problems());
         }
-        long drainMillis = Math.max(0, process.stopMillis - LAST_FRAMES_MILLIS);
+        long drainMillis = Math.max(0, process.stopMillis - FINAL_FRAMES_MILLIS);
         SidecarProcess sidecar =
                 SidecarProcess.start(settings.withTimes(SidecarTimes.defaults().withDrainMillis(drainMillis)));
         return Lifecycle.run(sidecar.httpPort(), sidecar.linkPort(), process.stopMillis, sidecar::stop);
--- a/server/src/test/java/org/quetzalshunt/server/settings/HangUpTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/settings/HangUpTest.java
@@ -8,22 +8,22 @@
 
 final class HangUpTest {
     /**
-     * The platform changes a settings file and sends the signal. Callers saw their requests cut: the JVM takes a hang-up
-     * for a request to stop. The process must live on and run the action, each time.
+     * The platform changes a settings file and sends SIGHUP. By default the JVM shuts down on it, which aborted the
+     * requests of callers. The process must keep running and run the action on each signal.
      */
     @Test
-    void signalRunsTheActionAndTheProcessLives() throws Exception {
-        CountDownLatch heard = new CountDownLatch(2);
-        HangUp.handle(heard::countDown);
+    void signalRunsTheActionWithoutEndingTheProcess() throws Exception {
+        CountDownLatch signals = new CountDownLatch(2);
+        HangUp.handle(signals::countDown);
         Class<?> signal = Class.forName("sun.misc.Signal");
         Object hangUp = signal.getConstructor(String.class).newInstance("HUP");
         for (int time = 0; time < 2; time++) {
-            long before = heard.getCount();
+            long before = signals.getCount();
             signal.getMethod("raise", signal).invoke(null, hangUp);
-            for (int wait = 0; wait < 200 && heard.getCount() == before; wait++) {
+            for (int wait = 0; wait < 200 && signals.getCount() == before; wait++) {
                 Thread.sleep(10);
             }
         }
-        assertThat(heard.await(5, TimeUnit.SECONDS)).isTrue();
+        assertThat(signals.await(5, TimeUnit.SECONDS)).isTrue();
     }
 }
