--- a/server/src/main/java/org/quetzalshunt/server/operator/AdminClient.java
+++ b/server/src/main/java/org/quetzalshunt/server/operator/AdminClient.java
@@ -8,7 +8,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** One call to the administration API and its answer; status 0 when none came. */
+/** Client of the administration API. */
 final class AdminClient {
     private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
@@ -26,14 +26,14 @@
         return new AdminClient(baseUrl, key);
     }
 
-    /** What came back. */
-    record Answer(int status, String body, Optional<String> version) {
-        boolean isGood() {
+    /** Response to a request; status 0 and a message in the body if none was received. */
+    record Response(int status, String body, Optional<String> version) {
+        boolean isSuccess() {
             return status >= 200 && status < 300;
         }
     }
 
-    Answer send(String method, String path, Optional<String> ifMatch, String body) {
+    Response send(String method, String path, Optional<String> ifMatch, String body) {
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create(baseUrl + "/admin/v1/" + path))
                 .timeout(TIMEOUT)
                 .header("authorization", "Bearer " + key)
@@ -41,13 +41,13 @@
         ifMatch.ifPresent(version -> request.header("if-match", version));
         try {
             HttpResponse<String> response = http.send(request.build(), HttpResponse.BodyHandlers.ofString());
-            return new Answer(
+            return new Response(
                     response.statusCode(), response.body(), response.headers().firstValue("etag"));
         } catch (IOException unreachable) {
-            return new Answer(0, "cannot reach " + baseUrl + ": " + unreachable.getMessage(), Optional.empty());
+            return new Response(0, "cannot reach " + baseUrl + ": " + unreachable.getMessage(), Optional.empty());
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            return new Answer(0, "interrupted", Optional.empty());
+            return new Response(0, "interrupted", Optional.empty());
         }
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/operator/AdminOptions.java
+++ b/server/src/main/java/org/quetzalshunt/server/operator/AdminOptions.java
@@ -5,7 +5,7 @@
 import org.quetzalshunt.wire.json.Json;
 import picocli.CommandLine.Option;
 
-/** Where the administration API is, and how answers are printed. */
+/** Options for the address and key of the administration API, and the output of its responses. */
 final class AdminOptions {
     private static final int EXIT_FAILED = 1;
 
@@ -19,21 +19,21 @@
             names = "--operator-key",
             required = true,
             defaultValue = "${env:QUETZALSHUNT_OPERATOR_KEY}",
-            description = "operator's key; better set by $QUETZALSHUNT_OPERATOR_KEY")
+            description = "key of the operator; preferably set in $QUETZALSHUNT_OPERATOR_KEY")
     private String key;
 
     AdminClient client() {
         return AdminClient.of(url, key);
     }
 
-    /** Prints a body, indented when it is JSON; the result is the exit code. */
-    static int print(AdminClient.Answer answer, PrintWriter out, PrintWriter error) {
-        PrintWriter target = answer.isGood() ? out : error;
-        String text = Json.parse(answer.body().getBytes(StandardCharsets.UTF_8))
+    /** Prints the body, indented if it is JSON, and returns the exit code. */
+    static int print(AdminClient.Response response, PrintWriter out, PrintWriter error) {
+        PrintWriter target = response.isSuccess() ? out : error;
+        String text = Json.parse(response.body().getBytes(StandardCharsets.UTF_8))
                 .map(Json::pretty)
-                .orElse(answer.body());
+                .orElse(response.body());
         target.println(text);
         target.flush();
-        return answer.isGood() ? 0 : EXIT_FAILED;
+        return response.isSuccess() ? 0 : EXIT_FAILED;
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/operator/ConfigCommand.java
+++ b/server/src/main/java/org/quetzalshunt/server/operator/ConfigCommand.java
@@ -15,18 +15,24 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code quetzalshunt config}: service documents. */
-@Command(name = "config", mixinStandardHelpOptions = true, description = "Checks, reads and changes service documents.")
+/** {@code quetzalshunt config}: commands for service documents. */
+@Command(
+        name = "config",
+        mixinStandardHelpOptions = true,
+        description = "Validates, reads and replaces service documents.")
 public final class ConfigCommand {
     private static final int EXIT_INVALID = 1;
 
     @Spec
     private CommandSpec spec;
 
-    /** Made by picocli. */
+    /** Instantiated by picocli. */
     public ConfigCommand() {}
 
-    @Command(name = "validate", mixinStandardHelpOptions = true, description = "Checks a file, without any entry.")
+    @Command(
+            name = "validate",
+            mixinStandardHelpOptions = true,
+            description = "Validates a file locally, without an entry.")
     int validate(@Parameters(paramLabel = "FILE") Path file) throws IOException {
         DocumentReading reading = DocumentReader.read(Files.readString(file));
         PrintWriter out = spec.commandLine().getOut();
@@ -50,37 +56,40 @@
     @Command(
             name = "get",
             mixinStandardHelpOptions = true,
-            description = "Prints a document; its version goes to stderr.")
+            description = "Prints a document to stdout and its version to stderr.")
     int get(@Mixin AdminOptions admin, @Parameters(paramLabel = "SERVICE") String service) {
-        AdminClient.Answer answer = admin.client().send("GET", "services/" + service, Optional.empty(), "");
-        answer.version().ifPresent(version -> err().println("version " + version));
+        AdminClient.Response response = admin.client().send("GET", "services/" + service, Optional.empty(), "");
+        response.version().ifPresent(version -> err().println("version " + version));
         err().flush();
-        if (answer.isGood()) {
-            out().print(answer.body());
+        if (response.isSuccess()) {
+            out().print(response.body());
             out().flush();
             return 0;
         }
-        return AdminOptions.print(answer, out(), err());
+        return AdminOptions.print(response, out(), err());
     }
 
-    @Command(name = "put", mixinStandardHelpOptions = true, description = "Puts a document in place of a version.")
+    @Command(
+            name = "put",
+            mixinStandardHelpOptions = true,
+            description = "Creates a document or replaces its current version.")
     int put(
             @Mixin AdminOptions admin,
-            @Option(names = "--if-match", description = "version that it replaces, as get printed it") String ifMatch,
-            @Option(names = "--dry-run", description = "only check it against the entry") boolean dryRun,
+            @Option(names = "--if-match", description = "version to be replaced, as printed by get") String ifMatch,
+            @Option(names = "--dry-run", description = "validate at the entry without storing") boolean dryRun,
             @Parameters(paramLabel = "SERVICE") String service,
             @Parameters(paramLabel = "FILE") Path file)
             throws IOException {
         String path = "services/" + service + (dryRun ? "?dryRun" : "");
-        AdminClient.Answer answer =
+        AdminClient.Response response =
                 admin.client().send("PUT", path, Optional.ofNullable(ifMatch), Files.readString(file));
-        return AdminOptions.print(answer, out(), err());
+        return AdminOptions.print(response, out(), err());
     }
 
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
-            description = "Shows what the system made of a document.")
+            description = "Prints which entries apply a document, and the state of its endpoints, accounts and limits.")
     int status(@Mixin AdminOptions admin, @Parameters(paramLabel = "SERVICE") String service) {
         return AdminOptions.print(
                 admin.client().send("GET", "services/" + service + "/status", Optional.empty(), ""), out(), err());
--- a/server/src/main/java/org/quetzalshunt/server/operator/DumpCommand.java
+++ b/server/src/main/java/org/quetzalshunt/server/operator/DumpCommand.java
@@ -7,11 +7,11 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** {@code quetzalshunt dump}: the tables of one entry as JSON. */
+/** {@code quetzalshunt dump}: prints the internal state of one entry as JSON. */
 @Command(
         name = "dump",
         mixinStandardHelpOptions = true,
-        description = "Prints the tables of the entry at --url: shards, streams, VMs, queues, limits, programs.")
+        description = "Prints the state of the entry at --url: shards, streams, VMs, queues, limits, programs.")
 public final class DumpCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -19,7 +19,7 @@
     @Mixin
     private AdminOptions admin;
 
-    /** Made by picocli. */
+    /** Instantiated by picocli. */
     public DumpCommand() {}
 
     @Override
--- a/server/src/main/java/org/quetzalshunt/server/operator/package-info.java
+++ b/server/src/main/java/org/quetzalshunt/server/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The operator's command line: documents, status and dumps over the administration API. */
+/** Command line for operators: documents, status and dumps through the administration API. */
 package org.quetzalshunt.server.operator;
