--- a/core/src/main/java/org/quetzalshunt/core/attempt/AttemptOrder.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/AttemptOrder.java
@@ -3,21 +3,21 @@
 import java.util.Map;
 
 /**
- * Order of a shard's owner to run one attempt of a request. The id makes it idempotent.
+ * Order from a shard's owner to run one attempt of a request. Idempotent by its attempt id.
  *
- * @param attempt id, unique over all owners and their incarnations
+ * @param attempt attempt id, unique over all owners and their incarnations
  * @param shard shard of the program
  * @param epoch the owner's epoch in that shard
- * @param program program, which also names the cache entry at an engine; empty for a call outside programs
+ * @param program id of the program, also the key of its cache entry at an engine; empty for a call outside programs
  * @param method HTTP method
  * @param path path with its query
- * @param headers headers for the endpoint; those outside {@link EndpointHeaders} are left out
- * @param body body as it goes to the endpoint
+ * @param headers request headers; those that {@link EndpointHeaders} does not allow are dropped
+ * @param body request body, sent to the endpoint unchanged
  * @param priority 0 is the most urgent
  * @param remainingMillis time left to the request's deadline
- * @param stallMillis time without progress after which the attempt is given up
+ * @param stallMillis time without progress after which the attempt is aborted; 0 for no limit
  * @param repeatable whether the request may run twice without harm
- * @param cacheLeaseMillis how long the program's cache is held from now on; 0 for not at all
+ * @param cacheLeaseMillis lease on the program's cache entry, counted from the start of the attempt; 0 for none
  */
 public record AttemptOrder(
         long attempt,
--- a/core/src/main/java/org/quetzalshunt/core/attempt/AttemptTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/AttemptTable.java
@@ -8,17 +8,20 @@
 import org.agrona.collections.Long2ObjectHashMap;
 
 /**
- * Attempts by id. Running ones are kept as long as they run; finished ones for a bounded time, number and size, so
- * that a receiver whose link broke can still fetch the rest.
+ * Attempts by id. Finished attempts are retained within limits on age, number and total size, so that a receiver whose
+ * link broke can still fetch the rest of the response.
  */
 final class AttemptTable {
-    /** An owner that lost its link connects again within seconds, or another takes over within a lease. */
-    static final long FINISHED_KEEP_MILLIS = 30_000;
+    /**
+     * An owner that lost its link reconnects within seconds; otherwise another owner takes over within one lease
+     * period.
+     */
+    static final long FINISHED_RETENTION_MILLIS = 30_000;
 
-    /** At 25 attempts a second, more than the time above needs. */
+    /** More than the attempts that finish within the retention time at 25 attempts a second. */
     static final int MAXIMUM_FINISHED = 1_024;
 
-    /** A process has 256 MB in all; running attempts and buffers need most of it. */
+    /** The process has 256 MB in total, most of which is needed for running attempts and buffers. */
     static final long MAXIMUM_FINISHED_BYTES = 32L * 1024 * 1024;
 
     private final Long2ObjectHashMap<AttemptRecord> records = new Long2ObjectHashMap<>();
@@ -42,22 +45,22 @@
         for (AttemptRecord candidate : records.values()) {
             if (candidate.link == link) {
                 candidate.link = AttemptRecord.NO_LINK;
-                candidate.detachedMillis = nowMillis;
+                candidate.detachedAtMillis = nowMillis;
             }
         }
     }
 
-    int running() {
+    int runningCount() {
         return records.size() - finished.size();
     }
 
-    int finished() {
+    int finishedCount() {
         return finished.size();
     }
 
-    /** The running ones now, as a copy: what is done with one of them may end it. */
+    /** Returns a copy, because callers may end attempts while they iterate over it. */
     List<AttemptRecord> listRunning() {
-        List<AttemptRecord> running = new ArrayList<>(running());
+        List<AttemptRecord> running = new ArrayList<>(runningCount());
         for (AttemptRecord candidate : records.values()) {
             if (candidate.isRunning()) {
                 running.add(candidate);
@@ -66,10 +69,10 @@
         return running;
     }
 
-    /** Takes out the oldest finished one that is due, if there is one. */
+    /** Removes and returns the oldest finished attempt if a retention limit is exceeded. */
     Optional<AttemptRecord> removeExpired(long nowMillis) {
         AttemptRecord oldest = finished.peekFirst();
-        if (oldest == null || !isDue(oldest, nowMillis)) {
+        if (oldest == null || !exceedsRetention(oldest, nowMillis)) {
             return Optional.empty();
         }
         finished.removeFirst();
@@ -78,8 +81,8 @@
         return Optional.of(oldest);
     }
 
-    private boolean isDue(AttemptRecord oldest, long nowMillis) {
-        return nowMillis - oldest.finishedMillis >= FINISHED_KEEP_MILLIS
+    private boolean exceedsRetention(AttemptRecord oldest, long nowMillis) {
+        return nowMillis - oldest.finishedAtMillis >= FINISHED_RETENTION_MILLIS
                 || finished.size() > MAXIMUM_FINISHED
                 || finishedBytes > MAXIMUM_FINISHED_BYTES;
     }
--- a/core/src/main/java/org/quetzalshunt/core/attempt/AttemptTimes.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/AttemptTimers.java
@@ -6,47 +6,53 @@
 import org.quetzalshunt.core.result.Execution;
 import org.quetzalshunt.core.result.ResultCode;
 
-/** What time alone does to attempts: deadline, stall, no receiver, a due resume, and the end of keeping. */
-final class AttemptTimes {
+/**
+ * Time-driven handling of attempts: deadlines, stalls, missing receivers, delayed resumes, and eviction of finished
+ * attempts.
+ */
+final class AttemptTimers {
     private final GateSettings settings;
     private final AttemptTable table;
-    private final RememberedResults remembered;
+    private final DeduplicationCache deduplicationCache;
     private final FrameDelivery delivery;
-    private final ChatRules chatRules;
+    private final EngineEventHandler engineEventHandler;
     private final Consumer<GateOutput> outputs;
 
-    AttemptTimes(
+    AttemptTimers(
             GateSettings settings,
             AttemptTable table,
-            RememberedResults remembered,
+            DeduplicationCache deduplicationCache,
             FrameDelivery delivery,
-            ChatRules chatRules,
+            EngineEventHandler engineEventHandler,
             Consumer<GateOutput> outputs) {
         this.settings = settings;
         this.table = table;
-        this.remembered = remembered;
+        this.deduplicationCache = deduplicationCache;
         this.delivery = delivery;
-        this.chatRules = chatRules;
+        this.engineEventHandler = engineEventHandler;
         this.outputs = outputs;
     }
 
     void tick(long nowMillis) {
-        if (table.running() > 0) {
+        if (table.runningCount() > 0) {
             table.listRunning().forEach(record -> tick(record, nowMillis));
         }
-        forget(nowMillis);
+        evictFinished(nowMillis);
     }
 
-    /** Ends one that runs, whatever the endpoint may still say. */
+    /** Ends a running attempt. Later events from the endpoint are ignored. */
     void stop(AttemptRecord record, ResultCode code, long nowMillis) {
         outputs.accept(new GateOutput.StopRun(record.attempt()));
         delivery.finish(record, code, Execution.RAN, nowMillis);
     }
 
-    /** Ends one of which nobody hears how it ends: for a plain call that must not be repeated, that is not known. */
-    void giveUp(AttemptRecord record, ResultCode codeIfRepeatable, long nowMillis) {
+    /**
+     * Ends an attempt that may still be running at the endpoint. The outcome of a non-repeatable call to a plain
+     * service is then unknown; any other attempt ends with the given code.
+     */
+    void abort(AttemptRecord record, ResultCode codeIfKnown, long nowMillis) {
         if (record.order.repeatable() || settings.kind() == ServiceKind.ENGINE) {
-            stop(record, codeIfRepeatable, nowMillis);
+            stop(record, codeIfKnown, nowMillis);
             return;
         }
         outputs.accept(new GateOutput.StopRun(record.attempt()));
@@ -55,17 +61,17 @@
 
     private void tick(AttemptRecord record, long nowMillis) {
         if (nowMillis >= record.deadlineMillis) {
-            giveUp(record, ResultCode.DEADLINE_PASSED_RUNNING, nowMillis);
+            abort(record, ResultCode.DEADLINE_PASSED_RUNNING, nowMillis);
         } else if (isStalled(record, nowMillis)) {
-            giveUp(record, ResultCode.ENDPOINT_STALLED, nowMillis);
+            abort(record, ResultCode.ENDPOINT_STALLED, nowMillis);
         } else if (isAbandoned(record, nowMillis)) {
             stop(record, ResultCode.CANCELLED, nowMillis);
-        } else if (record.resuming && nowMillis >= record.resumeAtMillis) {
-            chatRules.resumeNow(record, nowMillis);
+        } else if (record.isResumePending && nowMillis >= record.resumeAtMillis) {
+            engineEventHandler.sendResume(record, nowMillis);
         }
     }
 
-    /** Guards against an endpoint that hangs or a half-open connection: TCP shows neither, missing progress does. */
+    /** Detects a hanging endpoint or a half-open connection by missing progress, because TCP reports neither. */
     private static boolean isStalled(AttemptRecord record, long nowMillis) {
         long stallMillis = record.order.stallMillis();
         return stallMillis > 0 && nowMillis - record.lastProgressMillis >= stallMillis;
@@ -74,22 +80,22 @@
     private boolean isAbandoned(AttemptRecord record, long nowMillis) {
         return record.order.repeatable()
                 && record.link == AttemptRecord.NO_LINK
-                && nowMillis - record.detachedMillis >= settings.graceMillis();
+                && nowMillis - record.detachedAtMillis >= settings.graceMillis();
     }
 
-    private void forget(long nowMillis) {
+    private void evictFinished(long nowMillis) {
         Optional<AttemptRecord> expired = table.removeExpired(nowMillis);
         while (expired.isPresent()) {
             AttemptRecord record = expired.get();
             if (!record.order.repeatable()) {
-                remembered.remember(record.attempt(), withoutFrames(record), nowMillis);
+                deduplicationCache.put(record.attempt(), resultWithoutFrames(record), nowMillis);
             }
             expired = table.removeExpired(nowMillis);
         }
-        remembered.forgetOldest(nowMillis);
+        deduplicationCache.evictExpired(nowMillis);
     }
 
-    private static AttemptResult withoutFrames(AttemptRecord record) {
+    private static AttemptResult resultWithoutFrames(AttemptRecord record) {
         Execution execution = record.result.map(AttemptResult::execution).orElse(Execution.UNKNOWN);
         return AttemptResult.of(ResultCode.OUTCOME_UNKNOWN, execution, 0);
     }
--- a/core/src/main/java/org/quetzalshunt/core/attempt/CacheLease.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/CacheLease.java
@@ -1,15 +1,20 @@
 package org.quetzalshunt.core.attempt;
 
-/** Right of one program to hold its cache entry at the engine. A row of {@link CacheLeases}. */
+/** Lease on a program's cache entry at the engine. A row of {@link CacheLeases}. */
 final class CacheLease {
     final String program;
     int shard;
     long epoch;
-    long expiresMillis;
-    boolean freeing;
-    boolean asked;
-    long nextTryMillis;
-    int tries;
+    long expiresAtMillis;
+
+    /** Whether a request to free the entry was sent after the last renewal. */
+    boolean isFreeRequested;
+
+    /** Whether a request to free the entry is still unanswered. */
+    boolean isAwaitingReply;
+
+    long retryAtMillis;
+    int failedTries;
 
     private CacheLease(String program) {
         this.program = program;
--- a/core/src/main/java/org/quetzalshunt/core/attempt/CacheLeases.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/CacheLeases.java
@@ -8,27 +8,27 @@
 import java.util.function.Predicate;
 
 /**
- * Engine memory held for programs, each entry under a lease that its owner renews. Guards against memory that stays
- * held for programs that are gone: an owner that died renews nothing, so its leases lapse, and an entry that no lease
- * covers, such as one from before a restart of this process, shows in the engine's own list and is freed from there.
+ * Leases on the engine's cache entries, one for each program, which the program's owner renews. They keep programs that
+ * no longer exist from occupying engine memory: the leases of a dead owner expire, and entries without a lease, such as
+ * those from before a restart of this process, are found in the engine's own list and freed.
  */
 final class CacheLeases {
-    /** Lapses are found this late at most, which is little against a lease of seconds. */
+    /** Greatest delay in detecting an expired lease, which is short compared with leases of several seconds. */
     private static final long SWEEP_MILLIS = 250;
 
-    /** Entries that nobody knows are rare; a list of some hundred entries each minute costs nothing. */
+    /** Entries without a lease are rare, and listing a few hundred entries once a minute costs next to nothing. */
     private static final long LIST_MILLIS = 60_000;
 
     private static final long FIRST_RETRY_MILLIS = 500;
-    private static final long LARGEST_RETRY_MILLIS = 5_000;
-    private static final int LARGEST_SHIFT = 4;
+    private static final long MAXIMUM_RETRY_MILLIS = 5_000;
+    private static final int MAXIMUM_RETRY_DOUBLINGS = 4;
 
     private final Map<String, CacheLease> byProgram = new HashMap<>();
     private final Consumer<GateOutput> outputs;
     private long nextSweepMillis;
     private long nextListMillis;
-    private long freed;
-    private boolean ended;
+    private long freedEntries;
+    private boolean isClosed;
 
     CacheLeases(Consumer<GateOutput> outputs, long firstListMillis) {
         this.outputs = outputs;
@@ -36,15 +36,15 @@
     }
 
     void renew(String program, int shard, long epoch, long leaseMillis, long nowMillis) {
-        if (program.isEmpty() || ended) {
+        if (program.isEmpty() || isClosed) {
             return;
         }
         CacheLease lease = byProgram.computeIfAbsent(program, CacheLease::of);
         lease.shard = shard;
         lease.epoch = epoch;
-        lease.expiresMillis = Math.max(lease.expiresMillis, nowMillis + leaseMillis);
-        lease.freeing = false;
-        lease.tries = 0;
+        lease.expiresAtMillis = Math.max(lease.expiresAtMillis, nowMillis + leaseMillis);
+        lease.isFreeRequested = false;
+        lease.failedTries = 0;
     }
 
     void release(String program, int shard, long epoch, long nowMillis) {
@@ -54,31 +54,35 @@
         }
         lease.shard = shard;
         lease.epoch = epoch;
-        lease.expiresMillis = nowMillis;
+        lease.expiresAtMillis = nowMillis;
         nextSweepMillis = nowMillis;
     }
 
-    /** The engine answered a {@link GateOutput.FreeCache}, or not. */
-    void freed(String program, boolean answered, long nowMillis) {
+    /**
+     * Handles the outcome of a {@link GateOutput.FreeCache}; without an answer, it is retried with exponential
+     * back-off.
+     */
+    void onFreeResult(String program, boolean answered, long nowMillis) {
         CacheLease lease = byProgram.get(program);
         if (lease == null) {
             return;
         }
-        lease.asked = false;
+        lease.isAwaitingReply = false;
         if (!answered) {
-            long delay = Math.min(LARGEST_RETRY_MILLIS, FIRST_RETRY_MILLIS << Math.min(lease.tries, LARGEST_SHIFT));
-            lease.nextTryMillis = nowMillis + delay;
-            lease.tries++;
+            long delay = Math.min(
+                    MAXIMUM_RETRY_MILLIS, FIRST_RETRY_MILLIS << Math.min(lease.failedTries, MAXIMUM_RETRY_DOUBLINGS));
+            lease.retryAtMillis = nowMillis + delay;
+            lease.failedTries++;
             return;
         }
-        freed++;
-        if (lease.freeing) {
+        freedEntries++;
+        if (lease.isFreeRequested) {
             byProgram.remove(program);
         }
     }
 
-    /** The engine listed the entries that it holds. */
-    void listed(List<String> heldPrograms, long nowMillis) {
+    /** Adds an expired lease for each listed entry that has none, so that the next sweep frees the entry. */
+    void onListed(List<String> heldPrograms, long nowMillis) {
         for (String program : heldPrograms) {
             if (!byProgram.containsKey(program)) {
                 byProgram.put(program, CacheLease.of(program));
@@ -88,12 +92,12 @@
     }
 
     /**
-     * The process is leaving: every lease ends now and none is renewed. Without it an engine whose sidecar was stopped in
-     * the planned way would hold the memory of its programs until it is stopped itself, since nobody else frees it.
+     * Expires all leases and accepts no renewal from now on, for a planned stop of this process. Otherwise the engine
+     * would hold the memory of its programs until it is stopped itself, because no other process frees it.
      */
-    void endAll(long nowMillis) {
-        ended = true;
-        byProgram.values().forEach(lease -> lease.expiresMillis = nowMillis);
+    void expireAll(long nowMillis) {
+        isClosed = true;
+        byProgram.values().forEach(lease -> lease.expiresAtMillis = nowMillis);
         nextSweepMillis = nowMillis;
     }
 
@@ -111,21 +115,21 @@
         }
     }
 
-    int held() {
+    int heldCount() {
         return byProgram.size();
     }
 
     long freedCount() {
-        return freed;
+        return freedEntries;
     }
 
     private void sweep(CacheLease lease, long nowMillis, Predicate<String> isRunning) {
-        boolean lapsed = lease.expiresMillis <= nowMillis && !isRunning.test(lease.program);
-        if (!lapsed || lease.asked || nowMillis < lease.nextTryMillis) {
+        boolean isExpired = lease.expiresAtMillis <= nowMillis && !isRunning.test(lease.program);
+        if (!isExpired || lease.isAwaitingReply || nowMillis < lease.retryAtMillis) {
             return;
         }
-        lease.freeing = true;
-        lease.asked = true;
+        lease.isFreeRequested = true;
+        lease.isAwaitingReply = true;
         outputs.accept(new GateOutput.FreeCache(lease.program));
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/attempt/EndpointEvent.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/EndpointEvent.java
@@ -3,7 +3,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What came of a request at the endpoint. Each names attempt and run, so that late ones of a former run are void. */
+/**
+ * Event of a request at the endpoint. The attempt and run numbers identify the request, so that late events of an
+ * earlier run are ignored.
+ */
 public sealed interface EndpointEvent {
     /** Id of the attempt. */
     long attempt();
@@ -11,24 +14,24 @@
     /** Number of the run, from {@link GateOutput.StartRun} or {@link GateOutput.ResumeRun}. */
     int run();
 
-    /** Status and the headers worth passing on. */
+    /** Response status, with the headers that are forwarded to the receiver. */
     record Head(long attempt, int run, int status, Map<String, String> headers) implements EndpointEvent {}
 
-    /** One event of a stream, or a part of any other body. */
+    /** One event of an event stream, or one part of any other response body. */
     record Data(long attempt, int run, byte[] data) implements EndpointEvent {}
 
-    /** What the engine said about the answer as a whole. */
+    /** Token usage and finish reason that the engine reported for the response. */
     record Counted(long attempt, int run, Optional<TokenUsage> usage, Optional<String> finishReason)
             implements EndpointEvent {}
 
-    /** The stream's own end mark came. */
+    /** The end marker of the event stream arrived. */
     record Done(long attempt, int run) implements EndpointEvent {}
 
-    /** The HTTP answer ended whole. */
+    /** The HTTP response is complete according to its framing. */
     record Closed(long attempt, int run) implements EndpointEvent {}
 
     /**
-     * No whole HTTP answer will come.
+     * The HTTP response will not be completed.
      *
      * @param mayHaveArrived false only when no byte of the request can have reached the endpoint
      */
--- a/core/src/main/java/org/quetzalshunt/core/attempt/RunRules.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/EndpointEventHandler.java
@@ -1,7 +1,7 @@
 package org.quetzalshunt.core.attempt;
 
-/** What an event of the endpoint means for an attempt that still runs; differs by the kind of service. */
+/** Applies an endpoint event to a running attempt. Implementations differ by the kind of service. */
 @FunctionalInterface
-interface RunRules {
+interface EndpointEventHandler {
     void apply(AttemptRecord record, EndpointEvent event, long nowMillis);
 }
--- a/core/src/main/java/org/quetzalshunt/core/attempt/EndpointGate.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/EndpointGate.java
@@ -8,52 +8,56 @@
 import org.quetzalshunt.core.result.ResultCode;
 
 /**
- * The only gate to an endpoint: runs each attempt once, refuses former owners, keeps answers for receivers whose link
- * broke, and holds and frees engine memory. Used on one thread; every call hands its outputs to the consumer before
- * it returns.
+ * Sole access point to an endpoint. Deduplicates attempts, refuses orders from former shard owners, retains responses
+ * for receivers whose link broke, and manages leases on the engine's cache entries. Not thread-safe; every call passes
+ * its outputs to the consumer before it returns.
  */
 public final class EndpointGate {
     private final GateSettings settings;
     private final Consumer<GateOutput> outputs;
     private final AttemptTable table = new AttemptTable();
     private final EpochTable epochs = new EpochTable();
-    private final RememberedResults remembered = new RememberedResults();
+    private final DeduplicationCache deduplicationCache = new DeduplicationCache();
     private final CacheLeases leases;
     private final FrameDelivery delivery;
-    private final AttemptTimes times;
-    private final RunRules rules;
+    private final AttemptTimers timers;
+    private final EndpointEventHandler eventHandler;
     private boolean leaving;
-    private long refused;
+    private long refusedOrders;
 
     private EndpointGate(GateSettings settings, Consumer<GateOutput> outputs, long nowMillis) {
         this.settings = settings;
         this.outputs = outputs;
         this.leases = new CacheLeases(outputs, nowMillis + settings.orphanCacheMillis());
         this.delivery = new FrameDelivery(table, outputs);
-        ChatRules chatRules = new ChatRules(delivery, outputs);
-        this.times = new AttemptTimes(settings, table, remembered, delivery, chatRules, outputs);
-        this.rules = settings.kind() == ServiceKind.ENGINE ? chatRules : new PlainRules(delivery, outputs);
+        EngineEventHandler engineEventHandler = new EngineEventHandler(delivery, outputs);
+        this.timers = new AttemptTimers(settings, table, deduplicationCache, delivery, engineEventHandler, outputs);
+        this.eventHandler =
+                settings.kind() == ServiceKind.ENGINE ? engineEventHandler : new PlainEventHandler(delivery, outputs);
     }
 
-    /** Makes a gate with nothing running. */
+    /** Creates a gate without attempts or leases. */
     public static EndpointGate create(GateSettings settings, Consumer<GateOutput> outputs, long nowMillis) {
         return new EndpointGate(settings, outputs, nowMillis);
     }
 
-    /** An owner ordered an attempt. A copy of a former order attaches its link to the attempt and never runs again. */
+    /**
+     * Handles an owner's order to run an attempt. A duplicate order attaches its link to the existing attempt and does
+     * not run it again.
+     */
     public void start(long link, AttemptOrder order, long nowMillis) {
         boolean stale = isStale(order.shard(), order.epoch(), nowMillis);
         Optional<AttemptRecord> known = table.find(order.attempt());
         if (known.isPresent()) {
-            startAgain(link, known.get(), stale);
+            attachDuplicate(link, known.get(), stale);
             return;
         }
-        Optional<AttemptResult> former = remembered.find(order.attempt());
-        if (former.isPresent()) {
-            outputs.accept(new GateOutput.SendEnd(link, order.attempt(), former.get()));
+        Optional<AttemptResult> cachedResult = deduplicationCache.find(order.attempt());
+        if (cachedResult.isPresent()) {
+            outputs.accept(new GateOutput.SendEnd(link, order.attempt(), cachedResult.get()));
             return;
         }
-        Optional<ResultCode> refusal = refusal(order, stale);
+        Optional<ResultCode> refusal = findRefusal(order, stale);
         if (refusal.isPresent()) {
             refuse(link, order, refusal.get(), nowMillis);
             return;
@@ -61,7 +65,10 @@
         run(link, order, nowMillis);
     }
 
-    /** A receiver asks for an attempt's frames from a sequence on; the link attached before hears no more. */
+    /**
+     * Handles a receiver's request for an attempt's frames from a sequence number on. The link that was attached before
+     * receives no further frames.
+     */
     public void resume(long link, long attempt, int fromSequence) {
         Optional<AttemptRecord> known = table.find(attempt);
         if (known.isPresent()) {
@@ -69,11 +76,11 @@
             return;
         }
         AttemptResult unknown = AttemptResult.of(ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, 0);
-        outputs.accept(
-                new GateOutput.SendEnd(link, attempt, remembered.find(attempt).orElse(unknown)));
+        outputs.accept(new GateOutput.SendEnd(
+                link, attempt, deduplicationCache.find(attempt).orElse(unknown)));
     }
 
-    /** The receiver wants no answer any more. Void from a link whose attempt another link has taken over. */
+    /** Handles a receiver's cancel. Ignored if another link has been attached to the attempt since. */
     public void cancel(long link, long attempt, long nowMillis) {
         Optional<AttemptRecord> known = table.find(attempt);
         if (known.isEmpty()) {
@@ -86,27 +93,27 @@
         }
         record.link = link;
         if (record.isRunning()) {
-            times.stop(record, ResultCode.CANCELLED, nowMillis);
+            timers.stop(record, ResultCode.CANCELLED, nowMillis);
             return;
         }
         record.result.ifPresent(result -> outputs.accept(new GateOutput.SendEnd(link, attempt, result)));
     }
 
-    /** A link is gone; its attempts run on for another to resume. */
+    /** Detaches a closed link. Its attempts keep running, so that another link can resume them. */
     public void linkClosed(long link, long nowMillis) {
         table.detach(link, nowMillis);
     }
 
-    /** Something came of a run at the endpoint; void when the attempt ended or has a later run. */
+    /** Handles an endpoint event. Ignored if the attempt has ended or the event belongs to an earlier run. */
     public void on(EndpointEvent event, long nowMillis) {
         Optional<AttemptRecord> known = table.find(event.attempt());
         if (known.isEmpty() || !known.get().isRunning() || known.get().run != event.run()) {
             return;
         }
-        rules.apply(known.get(), event, nowMillis);
+        eventHandler.apply(known.get(), event, nowMillis);
     }
 
-    /** An owner renews the leases of its programs. */
+    /** Handles an owner's renewal of the cache leases of its programs. */
     public void renewCache(int shard, long epoch, List<String> programs, long leaseMillis, long nowMillis) {
         if (isStale(shard, epoch, nowMillis) || leaseMillis <= 0) {
             return;
@@ -114,7 +121,7 @@
         programs.forEach(program -> leases.renew(program, shard, epoch, leaseMillis, nowMillis));
     }
 
-    /** An owner says that a program needs its cache no more. */
+    /** Handles an owner's notice that a program no longer needs its cache entry. */
     public void releaseCache(int shard, long epoch, String program, long nowMillis) {
         if (isStale(shard, epoch, nowMillis)) {
             return;
@@ -122,47 +129,53 @@
         leases.release(program, shard, epoch, nowMillis);
     }
 
-    /** What came of a {@link GateOutput.FreeCache}: whether the engine answered. */
+    /** Reports the outcome of a {@link GateOutput.FreeCache}: whether the engine answered. */
     public void cacheFreed(String program, boolean answered, long nowMillis) {
-        leases.freed(program, answered, nowMillis);
+        leases.onFreeResult(program, answered, nowMillis);
     }
 
-    /** What came of a {@link GateOutput.ListCache}: programs whose entries the engine holds. */
+    /** Reports the result of a {@link GateOutput.ListCache}: the programs whose cache entries the engine holds. */
     public void cacheListed(List<String> heldPrograms, long nowMillis) {
-        leases.listed(heldPrograms, nowMillis);
+        leases.onListed(heldPrograms, nowMillis);
     }
 
-    /** Refuses new orders from now on; what runs goes on. */
+    /**
+     * Begins a planned stop: new orders are refused, running attempts continue, and an engine's cache entries are
+     * freed.
+     */
     public void leave() {
         leaving = true;
     }
 
-    /** Ends what still runs, at the end of the time to leave; each receiver is told what is true. */
+    /**
+     * Aborts all running attempts at the end of the drain period. A non-repeatable call to a plain service ends with
+     * {@code OUTCOME_UNKNOWN}, any other attempt with {@code ANSWER_CUT}.
+     */
     public void cutAll(long nowMillis) {
-        table.listRunning().forEach(record -> times.giveUp(record, ResultCode.ANSWER_CUT, nowMillis));
+        table.listRunning().forEach(record -> timers.abort(record, ResultCode.ANSWER_CUT, nowMillis));
     }
 
-    /** Does what is due. Call some twenty times a second. */
+    /** Handles all timeouts, retries and evictions that are due. To be called about twenty times a second. */
     public void tick(long nowMillis) {
-        times.tick(nowMillis);
+        timers.tick(nowMillis);
         if (settings.kind() == ServiceKind.ENGINE) {
             if (leaving) {
-                leases.endAll(nowMillis);
+                leases.expireAll(nowMillis);
             }
             leases.tick(nowMillis, this::isRunning);
         }
     }
 
-    /** Figures as of now. */
+    /** Returns the current statistics. */
     public GateCounts counts() {
         return new GateCounts(
-                table.running(),
-                table.finished(),
-                remembered.size(),
-                epochs.shards(),
-                leases.held(),
+                table.runningCount(),
+                table.finishedCount(),
+                deduplicationCache.size(),
+                epochs.shardCount(),
+                leases.heldCount(),
                 leases.freedCount(),
-                refused,
+                refusedOrders,
                 leaving);
     }
 
@@ -175,7 +188,7 @@
         outputs.accept(new GateOutput.StartRun(order, record.run, order.remainingMillis()));
     }
 
-    private void startAgain(long link, AttemptRecord record, boolean stale) {
+    private void attachDuplicate(long link, AttemptRecord record, boolean stale) {
         if (!stale) {
             delivery.attach(record, link, 0);
             return;
@@ -185,7 +198,7 @@
         outputs.accept(new GateOutput.SendEnd(link, record.attempt(), result));
     }
 
-    private Optional<ResultCode> refusal(AttemptOrder order, boolean stale) {
+    private Optional<ResultCode> findRefusal(AttemptOrder order, boolean stale) {
         if (stale) {
             return Optional.of(ResultCode.STALE_EPOCH);
         }
@@ -195,42 +208,50 @@
         if (order.remainingMillis() <= 0) {
             return Optional.of(ResultCode.DEADLINE_PASSED);
         }
-        if (table.running() >= settings.maximumRunning()) {
+        if (table.runningCount() >= settings.maximumRunning()) {
             return Optional.of(ResultCode.ENDPOINT_REFUSED);
         }
         return Optional.empty();
     }
 
-    /** The refusal is remembered, so that it stays true when a copy of the order comes later. */
+    /** Caches the refusal, so that a later duplicate of the order gets the same result and does not run. */
     private void refuse(long link, AttemptOrder order, ResultCode code, long nowMillis) {
-        refused++;
+        refusedOrders++;
         AttemptResult result = AttemptResult.of(code, Execution.NOT_RUN, 0);
-        remembered.remember(order.attempt(), result, nowMillis);
+        deduplicationCache.put(order.attempt(), result, nowMillis);
         outputs.accept(new GateOutput.SendEnd(link, order.attempt(), result));
     }
 
-    /** A cancel that overtook its order on another link: the order must not run when it comes. */
+    /**
+     * Handles a cancel that arrived before its order, which is on another link. Caches the result, so that the order
+     * does not run when it arrives.
+     */
     private void cancelUnknown(long link, long attempt, long nowMillis) {
-        AttemptResult result =
-                remembered.find(attempt).orElseGet(() -> AttemptResult.of(ResultCode.CANCELLED, Execution.UNKNOWN, 0));
-        remembered.remember(attempt, result, nowMillis);
+        AttemptResult result = deduplicationCache
+                .find(attempt)
+                .orElseGet(() -> AttemptResult.of(ResultCode.CANCELLED, Execution.UNKNOWN, 0));
+        deduplicationCache.put(attempt, result, nowMillis);
         outputs.accept(new GateOutput.SendEnd(link, attempt, result));
     }
 
+    /** Records the epoch and returns whether it is stale; a newer one stops the former owner's repeatable attempts. */
     private boolean isStale(int shard, long epoch, long nowMillis) {
-        EpochTable.Standing standing = epochs.observe(shard, epoch);
-        if (standing == EpochTable.Standing.NEWER) {
-            stopFormerOwner(shard, epoch, nowMillis);
+        EpochTable.Freshness freshness = epochs.observe(shard, epoch);
+        if (freshness == EpochTable.Freshness.NEWER) {
+            stopAttemptsOfFormerOwner(shard, epoch, nowMillis);
         }
-        return standing == EpochTable.Standing.STALE;
+        return freshness == EpochTable.Freshness.STALE;
     }
 
-    /** A former owner's repeatable work has no receiver that counts; non-repeatable work runs to its end. */
-    private void stopFormerOwner(int shard, long epoch, long nowMillis) {
+    /**
+     * Stops a former owner's repeatable attempts, whose results are no longer used. Non-repeatable attempts run to
+     * their end, so that the recorded outcome is true.
+     */
+    private void stopAttemptsOfFormerOwner(int shard, long epoch, long nowMillis) {
         for (AttemptRecord record : table.listRunning()) {
             AttemptOrder order = record.order;
             if (order.shard() == shard && order.epoch() < epoch && order.repeatable()) {
-                times.stop(record, ResultCode.STALE_EPOCH, nowMillis);
+                timers.stop(record, ResultCode.STALE_EPOCH, nowMillis);
             }
         }
     }
--- a/core/src/main/java/org/quetzalshunt/core/attempt/EndpointHeaders.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/EndpointHeaders.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * Headers that may reach an endpoint. An allowlist, since a caller's key can stand in a header that nobody thought of:
- * what is not known to be harmless stays out, also when an entry passes it on by mistake.
+ * Filters the HTTP headers between callers and endpoints. Uses allowlists, because any header may contain a caller's
+ * key: a header that is not known to be harmless is dropped, even if an entry process forwards it by mistake.
  */
 public final class EndpointHeaders {
     private static final Set<String> ALLOWED = Set.of(
@@ -28,12 +28,12 @@
 
     private EndpointHeaders() {}
 
-    /** Those of a request that may go to an endpoint, with names in lower case. */
+    /** Returns the request headers that may be sent to an endpoint, with names in lower case. */
     public static Map<String, String> ofRequest(Iterable<Map.Entry<String, String>> headers) {
         return filter(headers, ALLOWED);
     }
 
-    /** Those of an endpoint's answer that are passed on, with names in lower case; never a cookie. */
+    /** Returns the response headers that are forwarded to callers, with names in lower case; never a cookie. */
     public static Map<String, String> ofAnswer(Iterable<Map.Entry<String, String>> headers) {
         return filter(headers, ALLOWED_IN_ANSWERS);
     }
--- a/core/src/main/java/org/quetzalshunt/core/attempt/EpochTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/EpochTable.java
@@ -3,37 +3,37 @@
 import org.agrona.collections.Int2ObjectHashMap;
 
 /**
- * Highest epoch seen of each shard, kept for the life of the process. Guards against an owner that was paused while
- * another took its shard over: its orders still name the old epoch. Holds without any clock, from the first order of
- * the new owner on.
+ * Highest epoch seen for each shard, kept for the lifetime of the process. Detects orders from an owner that was paused
+ * while another took over its shard, because they carry the old epoch. Needs no clock and is effective from the new
+ * owner's first message on.
  */
 final class EpochTable {
     private final Int2ObjectHashMap<Long> highest = new Int2ObjectHashMap<>();
 
-    /** How an epoch stands to those seen before. */
-    enum Standing {
+    /** Relation of an epoch to the highest one seen before. */
+    enum Freshness {
         STALE,
         CURRENT,
         NEWER
     }
 
-    Standing observe(int shard, long epoch) {
+    Freshness observe(int shard, long epoch) {
         Long known = highest.get(shard);
         if (known == null) {
             highest.put(shard, Long.valueOf(epoch));
-            return Standing.CURRENT;
+            return Freshness.CURRENT;
         }
         if (epoch < known) {
-            return Standing.STALE;
+            return Freshness.STALE;
         }
         if (epoch == known) {
-            return Standing.CURRENT;
+            return Freshness.CURRENT;
         }
         highest.put(shard, Long.valueOf(epoch));
-        return Standing.NEWER;
+        return Freshness.NEWER;
     }
 
-    int shards() {
+    int shardCount() {
         return highest.size();
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/attempt/EventStreamParser.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/EventStreamParser.java
@@ -5,12 +5,13 @@
 import java.util.function.Consumer;
 
 /**
- * Reads an event stream (WHATWG HTML, section 9.2.6) and gives the data of each event as it ends. Lines may end in
- * CR LF, LF or CR and may be split anywhere; several data lines of an event are joined by LF; comments and fields
- * other than data are left out; an event without its closing blank line is not given.
+ * Incremental parser for event streams (WHATWG HTML, section 9.2.6) that emits the data of each event as soon as it
+ * ends. Lines may end in CR LF, LF or CR, and the input may be split anywhere. Several data lines of an event are
+ * joined by LF. Comments and fields other than data are ignored, and an event without its closing blank line is not
+ * emitted.
  */
 public final class EventStreamParser {
-    /** A chunk of a chat completion is some hundred bytes; one with a long tool call stays far below. */
+    /** A chunk of a chat completion has a few hundred bytes; one with a long tool call stays far below this limit. */
     public static final int MAXIMUM_EVENT_BYTES = 1024 * 1024;
 
     private static final byte[] BYTE_ORDER_MARK = {(byte) 0xEF, (byte) 0xBB, (byte) 0xBF};
@@ -20,23 +21,26 @@
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private final ByteArrayOutputStream data = new ByteArrayOutputStream();
     private boolean hasData;
-    private boolean firstLine = true;
+    private boolean isFirstLine = true;
     private boolean skipLineFeed;
-    private boolean tooLong;
+    private boolean isLimitExceeded;
 
     private EventStreamParser(Consumer<byte[]> events) {
         this.events = events;
     }
 
-    /** Makes a parser at the start of a stream. */
+    /** Creates a parser at the start of a stream. */
     public static EventStreamParser create(Consumer<byte[]> events) {
         return new EventStreamParser(events);
     }
 
-    /** Takes the next bytes; false once a line or an event is longer than allowed, after which nothing is given. */
+    /**
+     * Parses the next bytes. Returns false once a line or an event exceeds {@link #MAXIMUM_EVENT_BYTES}, after which no
+     * event is emitted.
+     */
     public boolean accept(byte[] bytes) {
         int start = 0;
-        for (int index = 0; index < bytes.length && !tooLong; index++) {
+        for (int index = 0; index < bytes.length && !isLimitExceeded; index++) {
             byte current = bytes[index];
             if (skipLineFeed) {
                 skipLineFeed = false;
@@ -49,27 +53,27 @@
                 append(bytes, start, index);
                 start = index + 1;
                 skipLineFeed = current == '\r';
-                if (!tooLong) {
+                if (!isLimitExceeded) {
                     endLine();
                 }
             }
         }
         append(bytes, start, bytes.length);
-        return !tooLong;
+        return !isLimitExceeded;
     }
 
     private void append(byte[] bytes, int start, int end) {
         if (line.size() + (end - start) > MAXIMUM_EVENT_BYTES) {
-            tooLong = true;
+            isLimitExceeded = true;
             return;
         }
         line.write(bytes, start, end - start);
     }
 
     private void endLine() {
-        byte[] content = withoutMark(line.toByteArray());
+        byte[] content = withoutByteOrderMark(line.toByteArray());
         line.reset();
-        firstLine = false;
+        isFirstLine = false;
         if (content.length == 0) {
             endEvent();
             return;
@@ -86,7 +90,7 @@
 
     private void addData(byte[] content, int start) {
         if (data.size() + content.length > MAXIMUM_EVENT_BYTES) {
-            tooLong = true;
+            isLimitExceeded = true;
             return;
         }
         if (hasData) {
@@ -112,8 +116,8 @@
         return spaced ? afterColon + 1 : afterColon;
     }
 
-    private byte[] withoutMark(byte[] content) {
-        if (!firstLine || !startsWith(content, BYTE_ORDER_MARK)) {
+    private byte[] withoutByteOrderMark(byte[] content) {
+        if (!isFirstLine || !startsWith(content, BYTE_ORDER_MARK)) {
             return content;
         }
         return Arrays.copyOfRange(content, BYTE_ORDER_MARK.length, content.length);
--- a/core/src/main/java/org/quetzalshunt/core/attempt/FrameDelivery.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/FrameDelivery.java
@@ -6,9 +6,9 @@
 import org.quetzalshunt.core.result.Execution;
 import org.quetzalshunt.core.result.ResultCode;
 
-/** Keeps the frames of each attempt and hands them to the one link that is attached to it, in order. */
+/** Buffers the frames of each attempt and sends them in order to the one link that is attached to it. */
 final class FrameDelivery {
-    /** An answer of 200,000 tokens fits many times; a larger one is passed on but cannot be replayed. */
+    /** Many times the size of a response of 200,000 tokens. A larger response is forwarded but cannot be replayed. */
     static final long MAXIMUM_REPLAY_BYTES = 8L * 1024 * 1024;
 
     private final AttemptTable table;
@@ -19,17 +19,17 @@
         this.outputs = outputs;
     }
 
-    void head(AttemptRecord record, int status, Map<String, String> headers) {
-        record.headSeen = true;
+    void forwardHead(AttemptRecord record, int status, Map<String, String> headers) {
+        record.hasHead = true;
         record.status = status;
         record.headers = headers;
         sendHead(record);
     }
 
-    void chunk(AttemptRecord record, byte[] data) {
+    void forwardChunk(AttemptRecord record, byte[] data) {
         int sequence = record.chunkCount;
         record.chunkCount++;
-        keep(record, data);
+        retain(record, data);
         if (record.link != AttemptRecord.NO_LINK) {
             outputs.accept(new GateOutput.SendChunk(record.link, record.attempt(), sequence, data));
         }
@@ -38,16 +38,20 @@
     void finish(AttemptRecord record, ResultCode code, Execution execution, long nowMillis) {
         AttemptResult result = new AttemptResult(code, execution, record.chunkCount, record.usage, record.finishReason);
         record.result = Optional.of(result);
-        record.finishedMillis = nowMillis;
+        record.finishedAtMillis = nowMillis;
         table.markFinished(record);
         if (record.link != AttemptRecord.NO_LINK) {
             outputs.accept(new GateOutput.SendEnd(record.link, record.attempt(), result));
         }
     }
 
-    /** Attaches a link and sends what it lacks. The link attached before hears no more: one answer, one receiver. */
+    /**
+     * Attaches a link and sends it all frames from a sequence number on. If these are not available, the link gets
+     * {@code ANSWER_CUT} and is not attached. A link that was attached before receives no further frames, so that each
+     * attempt has one receiver.
+     */
     void attach(AttemptRecord record, long link, int fromSequence) {
-        if (fromSequence < 0 || fromSequence > record.chunkCount || record.framesDropped) {
+        if (fromSequence < 0 || fromSequence > record.chunkCount || record.isReplayDiscarded) {
             refuseReplay(record, link);
             return;
         }
@@ -69,17 +73,17 @@
     }
 
     private void sendHead(AttemptRecord record) {
-        if (record.headSeen && record.link != AttemptRecord.NO_LINK) {
+        if (record.hasHead && record.link != AttemptRecord.NO_LINK) {
             outputs.accept(new GateOutput.SendHead(record.link, record.attempt(), record.status, record.headers));
         }
     }
 
-    private static void keep(AttemptRecord record, byte[] data) {
-        if (record.framesDropped) {
+    private static void retain(AttemptRecord record, byte[] data) {
+        if (record.isReplayDiscarded) {
             return;
         }
         if (record.chunkBytes + data.length > MAXIMUM_REPLAY_BYTES) {
-            record.framesDropped = true;
+            record.isReplayDiscarded = true;
             record.chunks.clear();
             record.chunkBytes = 0;
             return;
--- a/core/src/main/java/org/quetzalshunt/core/attempt/GateCounts.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/GateCounts.java
@@ -1,16 +1,16 @@
 package org.quetzalshunt.core.attempt;
 
 /**
- * Figures for reports and dumps.
+ * Statistics of an {@link EndpointGate} for reports and diagnostics.
  *
- * @param running attempts that run
- * @param finished finished attempts whose frames are kept
- * @param remembered attempts of which only the result is kept
- * @param shards shards of which an epoch is known
- * @param heldPrograms programs whose cache entry is held
- * @param freedPrograms entries freed since the start
+ * @param running running attempts
+ * @param finished finished attempts whose frames are retained
+ * @param remembered attempts of which only the result is retained
+ * @param shards shards whose highest epoch is recorded
+ * @param heldPrograms programs whose cache entry is not freed yet
+ * @param freedPrograms cache entries freed since the start
  * @param refused orders refused since the start
- * @param leaving whether new orders are refused
+ * @param leaving whether a planned stop has begun and new orders are refused
  */
 public record GateCounts(
         int running,
--- a/core/src/main/java/org/quetzalshunt/core/attempt/GateOutput.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/GateOutput.java
@@ -2,33 +2,36 @@
 
 import java.util.Map;
 
-/** What the gate wants done, in this order. Frames go to a link, the rest to the endpoint. */
+/**
+ * Action that the gate requests from its caller, to be performed in the order given. Frames are sent to a link; all
+ * other actions concern the endpoint.
+ */
 public sealed interface GateOutput {
     /**
-     * Status and headers of an answer. Sent again when a receiver attaches from sequence 0.
+     * Send the status and headers of a response. Repeated when a receiver attaches from sequence 0.
      *
-     * @param link number that the caller gave to the receiver's link
+     * @param link number by which the caller of the gate identifies the receiver's link
      */
     record SendHead(long link, long attempt, int status, Map<String, String> headers) implements GateOutput {}
 
-    /** One part of an answer; sequences start at 0 and have no gap. */
+    /** Send one chunk of a response; sequence numbers start at 0 and have no gaps. */
     record SendChunk(long link, long attempt, int sequence, byte[] data) implements GateOutput {}
 
-    /** The last frame of an attempt. */
+    /** Send the last frame of an attempt. */
     record SendEnd(long link, long attempt, AttemptResult result) implements GateOutput {}
 
     /**
      * Send the request to the endpoint.
      *
-     * @param run number that comes back in every {@link EndpointEvent}; events of a former run are void
-     * @param timeoutMillis when the connection may be given up without asking
+     * @param run number to put into every {@link EndpointEvent} of this run; events of an earlier run are ignored
+     * @param timeoutMillis time after which the connection may be closed without a {@link StopRun}
      */
     record StartRun(AttemptOrder order, int run, long timeoutMillis) implements GateOutput {}
 
     /**
-     * Ask the engine for the events of a running request that did not come.
+     * Request the missing events of a running request from the engine.
      *
-     * @param fromEvent number of events that came before
+     * @param fromEvent number of events already received
      */
     record ResumeRun(long attempt, int run, int fromEvent, long timeoutMillis) implements GateOutput {}
 
--- a/core/src/main/java/org/quetzalshunt/core/attempt/ModelRollout.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/ModelRollout.java
@@ -6,100 +6,117 @@
 import java.util.function.Consumer;
 
 /**
- * Brings one engine's models to what the service's document names: one order at a time, the state read before and
- * after each, back to the former version if a load fails.
+ * Reconciles the models loaded by one engine with those that the service document names. Issues one order at a time,
+ * verifies the engine's state before and after each order, and rolls back to the previous version if a load fails.
  *
- * <p>The document's version is the fencing token. An engine that checks it refuses a former process of this sidecar,
- * or one that reads an old document. For one that ignores it, this class is the fence as far as can be: it gives no
- * order before the engine's models stood still for as long as a former process's order may take, again so after every
- * change that is not its own, and it compares again with every report, so that an order that slips through is undone.
+ * <p>The version of the service document is the fencing token. An engine that checks it refuses orders from a former
+ * process of this sidecar, or from one that reads an old document. For an engine that ignores it, this class fences as
+ * far as possible: it issues no order until the engine's models have been unchanged for as long as an order of a former
+ * process may take, waits as long again after every change that it did not cause, and compares the models with every
+ * report, so that the effect of a stale order is undone.
  */
 public final class ModelRollout {
-    /** Orders of a former process that are still under way are over by then; see docs/design/sidecar.md. */
-    static final long FORMER_ORDER_MILLIS = 10_000;
+    /**
+     * How long the engine's models must be unchanged before an order. Orders of a former process that are still in
+     * progress have ended by then; see docs/design/sidecar.md.
+     */
+    static final long QUIET_PERIOD_MILLIS = 10_000;
 
-    /** The engine's report lags by some hundred milliseconds; an order that is done but not seen by then failed. */
-    static final long READ_BACK_MILLIS = 5_000;
+    /**
+     * The engine's report lags by a few hundred milliseconds; an order that completed without a visible effect by then
+     * has failed.
+     */
+    static final long READ_BACK_TIMEOUT_MILLIS = 5_000;
 
-    /** An order whose answer was lost may still be under way; a load takes tens of seconds. */
-    static final long UNKNOWN_ORDER_MILLIS = 60_000;
+    /** An order whose response was lost may still be in progress; a load takes tens of seconds. */
+    static final long UNKNOWN_ORDER_TIMEOUT_MILLIS = 60_000;
 
-    /** Loads take seconds, so asking twice a second is soon enough. */
-    static final long ASK_MILLIS = 500;
+    /** Loads take seconds, so polling twice a second is frequent enough. */
+    static final long POLL_INTERVAL_MILLIS = 500;
 
-    /** A failure may be a hiccup; two in a row of one load are the version's. */
-    static final int LOAD_TRIES = 2;
+    /** A single failure may be transient; two consecutive failures of one load are attributed to the version. */
+    static final int MAXIMUM_LOAD_TRIES = 2;
 
-    static final long RETRY_MILLIS = 2_000;
+    static final long RETRY_DELAY_MILLIS = 2_000;
 
     private final Consumer<RolloutOutput> outputs;
     private final RolloutPlan plan = new RolloutPlan();
     private Optional<List<ModelVersion>> loaded = Optional.empty();
     private Phase phase = Phase.RESTING;
     private Optional<RolloutPlan.Step> step = Optional.empty();
-    private String order = "";
-    private long stillSinceMillis;
+    private String orderId = "";
+    private long unchangedSinceMillis;
     private long notBeforeMillis;
-    private long stepAtMillis;
-    private long giveUpMillis;
+    private long stepDueMillis;
+    private long timeoutAtMillis;
     private int failures;
     private long ordersGiven;
     private boolean engineChecksFencing;
 
     private enum Phase {
+        /** No step is in progress. */
         RESTING,
+        /** Waits for the weight store's response. */
         FETCHING,
+        /** Waits for the engine's response to an order. */
         ORDERING,
+        /** Waits for the engine's response to a query for an order's state. */
         ASKING,
+        /** The engine executes an order; the next query for its state is scheduled. */
         WORKING,
+        /** Waits until the engine's report shows the effect of an order. */
         READING_BACK,
+        /** The engine refused the fencing token; waits for a newer document. */
         FENCED
     }
 
     private ModelRollout(Consumer<RolloutOutput> outputs, long nowMillis) {
         this.outputs = outputs;
-        this.stillSinceMillis = nowMillis;
+        this.unchangedSinceMillis = nowMillis;
     }
 
-    /** Makes a rollout that wants nothing yet. */
+    /** Creates a rollout without a target. */
     public static ModelRollout create(Consumer<RolloutOutput> outputs, long nowMillis) {
         return new ModelRollout(outputs, nowMillis);
     }
 
     /**
-     * The document names models; an older version than the last is void, and so is an empty list.
+     * Sets the models named by a version of the service document. Ignored if the version is not newer than the last one
+     * or the list is empty.
      *
-     * @param checksFencing whether the engine refuses old fencing tokens, so that nothing must be waited out
-     * @param stepMillis delay of this endpoint's step of the rollout, counted only where it replaces what serves
+     * @param checksFencing whether the engine refuses old fencing tokens, so that there is no need to wait for earlier
+     *     orders
+     * @param stepMillis delay of this endpoint's step of the rollout; applies only while the engine serves a model that
+     *     the rollout manages
      */
     public void desire(
             long version, List<ModelVersion> models, boolean checksFencing, long stepMillis, long nowMillis) {
-        if (!plan.desire(version, models)) {
+        if (!plan.updateTarget(version, models)) {
             return;
         }
         engineChecksFencing = checksFencing;
         failures = 0;
-        stepAtMillis = nowMillis + stepMillis;
+        stepDueMillis = nowMillis + stepMillis;
         if (phase == Phase.FENCED) {
             phase = Phase.RESTING;
         }
     }
 
-    /** The engine named its models. */
+    /** Handles the engine's report of its loaded models. */
     public void onLoaded(List<ModelVersion> models, long nowMillis) {
         boolean changed = loaded.isEmpty() || !new HashSet<>(loaded.get()).equals(new HashSet<>(models));
-        boolean own = phase == Phase.WORKING || phase == Phase.ASKING || phase == Phase.READING_BACK;
-        if (changed && !own) {
-            stillSinceMillis = nowMillis;
+        boolean causedByOwnOrder = phase == Phase.WORKING || phase == Phase.ASKING || phase == Phase.READING_BACK;
+        if (changed && !causedByOwnOrder) {
+            unchangedSinceMillis = nowMillis;
         }
         loaded = Optional.of(List.copyOf(models));
-        if (phase == Phase.READING_BACK && isInEffect()) {
+        if (phase == Phase.READING_BACK && isStepInEffect()) {
             failures = 0;
-            rest(nowMillis);
+            restUntil(nowMillis);
         }
     }
 
-    /** The weight store answered. */
+    /** Handles the weight store's response. */
     public void onWeights(WeightsAnswer answer, long nowMillis) {
         if (phase != Phase.FETCHING) {
             return;
@@ -107,51 +124,51 @@
         if (answer instanceof WeightsAnswer.Ready) {
             giveOrderIfStillDue(nowMillis);
         } else if (answer instanceof WeightsAnswer.Later later) {
-            rest(nowMillis + later.millis());
+            restUntil(nowMillis + later.millis());
         } else if (answer instanceof WeightsAnswer.Missing) {
             plan.rollBack();
-            rest(nowMillis + RETRY_MILLIS);
+            restUntil(nowMillis + RETRY_DELAY_MILLIS);
         } else {
-            rest(nowMillis + RETRY_MILLIS);
+            restUntil(nowMillis + RETRY_DELAY_MILLIS);
         }
     }
 
-    /** The engine answered an order or a question about it. */
+    /** Handles the engine's response to an order or to a query for its state. */
     public void onOrder(OrderAnswer answer, long nowMillis) {
         if (phase != Phase.ORDERING && phase != Phase.ASKING) {
             return;
         }
         if (answer instanceof OrderAnswer.Accepted accepted) {
-            order = accepted.order();
-            giveUpMillis = nowMillis + UNKNOWN_ORDER_MILLIS;
-            work(nowMillis);
+            orderId = accepted.order();
+            timeoutAtMillis = nowMillis + UNKNOWN_ORDER_TIMEOUT_MILLIS;
+            pollLater(nowMillis);
         } else if (answer instanceof OrderAnswer.Running) {
-            giveUpMillis = nowMillis + UNKNOWN_ORDER_MILLIS;
-            work(nowMillis);
+            timeoutAtMillis = nowMillis + UNKNOWN_ORDER_TIMEOUT_MILLIS;
+            pollLater(nowMillis);
         } else if (answer instanceof OrderAnswer.Done) {
-            readBack(nowMillis + READ_BACK_MILLIS);
+            readBack(nowMillis + READ_BACK_TIMEOUT_MILLIS);
         } else if (answer instanceof OrderAnswer.Failed) {
-            failed(nowMillis);
+            onFailure(nowMillis);
         } else if (answer instanceof OrderAnswer.Fenced) {
             phase = Phase.FENCED;
         } else {
-            unknown(nowMillis);
+            onUnknownAnswer(nowMillis);
         }
     }
 
-    /** Does what is due. */
+    /** Performs the next action if it is due. */
     public void tick(long nowMillis) {
         if (phase == Phase.WORKING && nowMillis >= notBeforeMillis) {
             phase = Phase.ASKING;
-            outputs.accept(new RolloutOutput.AskOrder(order));
-        } else if (phase == Phase.READING_BACK && nowMillis >= giveUpMillis) {
-            failed(nowMillis);
-        } else if (phase == Phase.RESTING && mayOrder(nowMillis)) {
-            begin();
+            outputs.accept(new RolloutOutput.AskOrder(orderId));
+        } else if (phase == Phase.READING_BACK && nowMillis >= timeoutAtMillis) {
+            onFailure(nowMillis);
+        } else if (phase == Phase.RESTING && canStartStep(nowMillis)) {
+            startStep();
         }
     }
 
-    /** Where it stands. */
+    /** Returns the current status. */
     public RolloutStatus status() {
         return new RolloutStatus(
                 plan.version(),
@@ -162,18 +179,18 @@
                 ordersGiven);
     }
 
-    private boolean mayOrder(long nowMillis) {
+    private boolean canStartStep(long nowMillis) {
         if (plan.isEmpty() || loaded.isEmpty() || nowMillis < notBeforeMillis) {
             return false;
         }
-        if (nowMillis < stepAtMillis && plan.replacesSomething(loaded.get())) {
+        if (nowMillis < stepDueMillis && plan.servesManagedModel(loaded.get())) {
             return false;
         }
-        return engineChecksFencing || nowMillis - stillSinceMillis >= FORMER_ORDER_MILLIS;
+        return engineChecksFencing || nowMillis - unchangedSinceMillis >= QUIET_PERIOD_MILLIS;
     }
 
-    private void begin() {
-        step = plan.next(loaded.orElse(List.of()));
+    private void startStep() {
+        step = plan.nextStep(loaded.orElse(List.of()));
         if (step.isEmpty()) {
             return;
         }
@@ -186,13 +203,13 @@
         outputs.accept(new RolloutOutput.FetchWeights(next.model()));
     }
 
-    /** A newer document may have come while the weight store was asked. */
+    /** Compares with the plan again, because a newer document may have arrived while the weights were requested. */
     private void giveOrderIfStillDue(long nowMillis) {
-        if (plan.next(loaded.orElse(List.of())).equals(step)) {
+        if (plan.nextStep(loaded.orElse(List.of())).equals(step)) {
             giveOrder();
             return;
         }
-        rest(nowMillis);
+        restUntil(nowMillis);
     }
 
     private void giveOrder() {
@@ -202,42 +219,45 @@
         outputs.accept(new RolloutOutput.GiveOrder(next.load(), next.model(), plan.version()));
     }
 
-    private void work(long nowMillis) {
+    private void pollLater(long nowMillis) {
         phase = Phase.WORKING;
-        notBeforeMillis = nowMillis + ASK_MILLIS;
+        notBeforeMillis = nowMillis + POLL_INTERVAL_MILLIS;
     }
 
     private void readBack(long untilMillis) {
         phase = Phase.READING_BACK;
-        giveUpMillis = untilMillis;
+        timeoutAtMillis = untilMillis;
     }
 
-    /** Guards against a lost answer: the order may be under way, so no other one is given until its effect shows. */
-    private void unknown(long nowMillis) {
+    /**
+     * Handles a lost response. The order may be in progress, so no other order is issued until its effect is visible or
+     * a timeout has passed.
+     */
+    private void onUnknownAnswer(long nowMillis) {
         boolean asked = phase == Phase.ASKING;
-        if (asked && nowMillis < giveUpMillis) {
-            work(nowMillis);
+        if (asked && nowMillis < timeoutAtMillis) {
+            pollLater(nowMillis);
             return;
         }
-        readBack(nowMillis + (asked ? READ_BACK_MILLIS : UNKNOWN_ORDER_MILLIS));
+        readBack(nowMillis + (asked ? READ_BACK_TIMEOUT_MILLIS : UNKNOWN_ORDER_TIMEOUT_MILLIS));
     }
 
-    private void failed(long nowMillis) {
+    private void onFailure(long nowMillis) {
         failures++;
         boolean isLoad = step.map(RolloutPlan.Step::load).orElse(false);
-        if (isLoad && failures >= LOAD_TRIES) {
+        if (isLoad && failures >= MAXIMUM_LOAD_TRIES) {
             failures = 0;
             plan.rollBack();
         }
-        rest(nowMillis + RETRY_MILLIS);
+        restUntil(nowMillis + RETRY_DELAY_MILLIS);
     }
 
-    private void rest(long untilMillis) {
+    private void restUntil(long untilMillis) {
         phase = Phase.RESTING;
         notBeforeMillis = untilMillis;
     }
 
-    private boolean isInEffect() {
+    private boolean isStepInEffect() {
         List<ModelVersion> present = loaded.orElse(List.of());
         return step.map(done -> present.contains(done.model()) == done.load()).orElse(true);
     }
--- a/core/src/main/java/org/quetzalshunt/core/attempt/ModelVersion.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/ModelVersion.java
@@ -5,13 +5,13 @@
 /**
  * One version of one model or adapter.
  *
- * @param model name
- * @param version version, as the weight store knows it
+ * @param model name of the model or adapter
+ * @param version version as named in the weight store
  */
 public record ModelVersion(String model, String version) {
     private static final char SEPARATOR = '@';
 
-    /** Reads {@code tutor-7b@3}; empty when a part is missing. */
+    /** Parses a text such as {@code tutor-7b@3}; empty when a part is missing. */
     public static Optional<ModelVersion> parse(String text) {
         int separator = text.lastIndexOf(SEPARATOR);
         if (separator <= 0 || separator == text.length() - 1) {
--- a/core/src/main/java/org/quetzalshunt/core/attempt/OrderAnswer.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/OrderAnswer.java
@@ -1,22 +1,22 @@
 package org.quetzalshunt.core.attempt;
 
-/** What the engine said to an order, or about it. */
+/** An engine's response to a load or unload order, or to a query for the order's state. */
 public sealed interface OrderAnswer {
-    /** Taken up, under an id by which to ask again. */
+    /** The engine accepted the order; {@code order} is the id for later queries. */
     record Accepted(String order) implements OrderAnswer {}
 
-    /** Still under way. */
+    /** The order is in progress. */
     record Running() implements OrderAnswer {}
 
-    /** Carried out. */
+    /** The order is complete. */
     record Done() implements OrderAnswer {}
 
-    /** Given up by the engine. */
+    /** The engine refused the order or failed to complete it. */
     record Failed() implements OrderAnswer {}
 
-    /** Refused: the engine has taken an order with a higher fencing token. */
+    /** The engine refused the order, because it has accepted one with a higher fencing token. */
     record Fenced() implements OrderAnswer {}
 
-    /** No answer, or one that says nothing; the order may be under way. */
+    /** There was no response, or an unusable one; the order may be in progress. */
     record Unknown() implements OrderAnswer {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/attempt/PlainRules.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/PlainEventHandler.java
@@ -4,12 +4,15 @@
 import org.quetzalshunt.core.result.Execution;
 import org.quetzalshunt.core.result.ResultCode;
 
-/** Plain services: the answer is passed on as it comes, whatever its status; HTTP's own framing is the end mark. */
-final class PlainRules implements RunRules {
+/**
+ * Handles endpoint events of attempts at plain HTTP services. The response is forwarded as it arrives, whatever its
+ * status, and is complete when the HTTP framing says so.
+ */
+final class PlainEventHandler implements EndpointEventHandler {
     private final FrameDelivery delivery;
     private final Consumer<GateOutput> outputs;
 
-    PlainRules(FrameDelivery delivery, Consumer<GateOutput> outputs) {
+    PlainEventHandler(FrameDelivery delivery, Consumer<GateOutput> outputs) {
         this.delivery = delivery;
         this.outputs = outputs;
     }
@@ -18,19 +21,19 @@
     public void apply(AttemptRecord record, EndpointEvent event, long nowMillis) {
         if (event instanceof EndpointEvent.Head head) {
             record.lastProgressMillis = nowMillis;
-            delivery.head(record, head.status(), head.headers());
+            delivery.forwardHead(record, head.status(), head.headers());
         } else if (event instanceof EndpointEvent.Data data) {
             record.lastProgressMillis = nowMillis;
-            delivery.chunk(record, data.data());
+            delivery.forwardChunk(record, data.data());
         } else if (event instanceof EndpointEvent.Closed) {
             delivery.finish(record, ResultCode.OK, Execution.RAN, nowMillis);
         } else if (event instanceof EndpointEvent.Failed failed) {
-            failed(record, failed.mayHaveArrived(), nowMillis);
+            onFailed(record, failed.mayHaveArrived(), nowMillis);
         }
     }
 
-    private void failed(AttemptRecord record, boolean mayHaveArrived, long nowMillis) {
-        if (!mayHaveArrived && !record.sentAgain) {
+    private void onFailed(AttemptRecord record, boolean mayHaveArrived, long nowMillis) {
+        if (!mayHaveArrived && !record.isResent) {
             delivery.finish(record, ResultCode.ENDPOINT_FAILED, Execution.NOT_RUN, nowMillis);
             return;
         }
@@ -38,19 +41,19 @@
             delivery.finish(record, ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, nowMillis);
             return;
         }
-        if (record.headSeen || record.sentAgain) {
+        if (record.hasHead || record.isResent) {
             delivery.finish(record, ResultCode.ENDPOINT_FAILED, Execution.RAN, nowMillis);
             return;
         }
-        sendAgain(record, nowMillis);
+        resend(record, nowMillis);
     }
 
     /**
-     * Guards against a kept connection that the service closed at the moment of its use: it shows as a break before
-     * any answer. Only for a repeatable request of which nothing was passed on, and once.
+     * Resends a request whose connection broke before any response, as when the service closes a keep-alive connection
+     * just as it is reused. Done once at most, and only for a repeatable request without a forwarded response.
      */
-    private void sendAgain(AttemptRecord record, long nowMillis) {
-        record.sentAgain = true;
+    private void resend(AttemptRecord record, long nowMillis) {
+        record.isResent = true;
         record.run++;
         outputs.accept(new GateOutput.StartRun(record.order, record.run, record.remainingMillis(nowMillis)));
     }
--- a/core/src/main/java/org/quetzalshunt/core/attempt/RolloutOutput.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/RolloutOutput.java
@@ -1,17 +1,18 @@
 package org.quetzalshunt.core.attempt;
 
-/** What a rollout wants asked or ordered. Never more than one is unanswered. */
+/** Request of a rollout to the weight store or the engine. At most one is unanswered at any time. */
 public sealed interface RolloutOutput {
-    /** Ask the weight store for a version; answer with {@link ModelRollout#onWeights}. */
+    /** Request a model version from the weight store; report with {@link ModelRollout#onWeights}. */
     record FetchWeights(ModelVersion model) implements RolloutOutput {}
 
     /**
-     * Order the engine to load or unload; answer with {@link ModelRollout#onOrder}.
+     * Order the engine to load or unload a model version; report with {@link ModelRollout#onOrder}.
      *
-     * @param fencingToken version of the document, which an engine that checks refuses when it saw a higher one
+     * @param fencingToken version of the service document; an engine that checks fencing refuses a token that is lower
+     *     than the highest it has accepted
      */
     record GiveOrder(boolean load, ModelVersion model, long fencingToken) implements RolloutOutput {}
 
-    /** Ask the engine how an order stands; answer with {@link ModelRollout#onOrder}. */
+    /** Query the state of an order at the engine; report with {@link ModelRollout#onOrder}. */
     record AskOrder(String order) implements RolloutOutput {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/attempt/RolloutPlan.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/RolloutPlan.java
@@ -5,39 +5,41 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What is wanted of an engine's models, what was in force before, and the next difference to what is loaded. */
+/**
+ * The target models of an engine, the models to roll back to, and the next step from the loaded models to the target.
+ */
 final class RolloutPlan {
     private final Set<String> managedNames = new HashSet<>();
     private long version = Long.MIN_VALUE;
     private List<ModelVersion> target = List.of();
-    private Optional<List<ModelVersion>> former = Optional.empty();
-    private boolean rolledBack;
-    private boolean reached;
+    private Optional<List<ModelVersion>> previous = Optional.empty();
+    private boolean isRolledBack;
+    private boolean isReached;
 
-    /** One change of the engine's models. */
+    /** Load or unload of one model version. */
     record Step(boolean load, ModelVersion model) {}
 
-    /** Takes a newer version up; false for one that is not newer, and for one that names nothing. */
-    boolean desire(long newVersion, List<ModelVersion> models) {
+    /** Replaces the target. Returns false if the version is not newer or the list is empty. */
+    boolean updateTarget(long newVersion, List<ModelVersion> models) {
         if (newVersion <= version || models.isEmpty()) {
             return false;
         }
-        former = reached ? Optional.of(target) : Optional.empty();
+        previous = isReached ? Optional.of(target) : Optional.empty();
         version = newVersion;
         target = List.copyOf(models);
-        rolledBack = false;
-        reached = false;
+        isRolledBack = false;
+        isReached = false;
         models.forEach(model -> managedNames.add(model.model()));
         return true;
     }
 
     /**
-     * Loads come before unloads, so that a version that serves is only given up for one that does. Models whose names
-     * no document has named are left alone.
+     * Returns the next step, or empty once the target is reached. Loads come before unloads, so that a version is
+     * unloaded only when its replacement is loaded. Models whose names no document has contained are left alone.
      */
-    Optional<Step> next(List<ModelVersion> loaded) {
-        if (former.isEmpty()) {
-            former = Optional.of(managedAmong(loaded));
+    Optional<Step> nextStep(List<ModelVersion> loaded) {
+        if (previous.isEmpty()) {
+            previous = Optional.of(filterManaged(loaded));
         }
         for (ModelVersion wanted : target) {
             if (!loaded.contains(wanted)) {
@@ -49,22 +51,25 @@
                 return Optional.of(new Step(false, present));
             }
         }
-        reached = true;
+        isReached = true;
         return Optional.empty();
     }
 
-    /** A load failed for good: back to what served before. */
+    /**
+     * Makes the previous models the target again after a load has failed for good. Has no effect without previous
+     * models.
+     */
     void rollBack() {
-        if (rolledBack || former.isEmpty() || former.get().isEmpty()) {
+        if (isRolledBack || previous.isEmpty() || previous.get().isEmpty()) {
             return;
         }
-        rolledBack = true;
-        target = former.get();
+        isRolledBack = true;
+        target = previous.get();
     }
 
-    /** Whether the engine serves something that a step could take away. */
-    boolean replacesSomething(List<ModelVersion> loaded) {
-        return !managedAmong(loaded).isEmpty();
+    /** Returns whether the engine serves a model that a step could unload. */
+    boolean servesManagedModel(List<ModelVersion> loaded) {
+        return !filterManaged(loaded).isEmpty();
     }
 
     boolean isEmpty() {
@@ -80,10 +85,10 @@
     }
 
     boolean isRolledBack() {
-        return rolledBack;
+        return isRolledBack;
     }
 
-    private List<ModelVersion> managedAmong(List<ModelVersion> loaded) {
+    private List<ModelVersion> filterManaged(List<ModelVersion> loaded) {
         return loaded.stream()
                 .filter(model -> managedNames.contains(model.model()))
                 .toList();
--- a/core/src/main/java/org/quetzalshunt/core/attempt/RolloutStatus.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/RolloutStatus.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Where a rollout stands, for dumps.
+ * Status of a {@link ModelRollout} for diagnostics.
  *
- * @param version version of the document whose models are wanted
- * @param target models that the engine is being brought to
- * @param loaded models that the engine named last
- * @param phase what the rollout waits for
- * @param rolledBack whether the version failed to load, so that the target is the former one
- * @param ordersGiven orders since the start
+ * @param version version of the service document that names the wanted models
+ * @param target models that the engine is to serve
+ * @param loaded models in the engine's last report
+ * @param phase name of the rollout's current phase
+ * @param rolledBack whether the version failed to load, so that the target is the previous one
+ * @param ordersGiven orders issued since the start
  */
 public record RolloutStatus(
         long version,
--- a/core/src/main/java/org/quetzalshunt/core/attempt/TokenUsage.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/TokenUsage.java
@@ -1,10 +1,10 @@
 package org.quetzalshunt.core.attempt;
 
 /**
- * Tokens that an engine counted for one answer.
+ * Token counts that an engine reported for one response.
  *
  * @param promptTokens all tokens of the prompt
- * @param cachedTokens those of them that came from the prefix cache
- * @param completionTokens tokens of the answer
+ * @param cachedTokens prompt tokens that came from the prefix cache
+ * @param completionTokens tokens of the response
  */
 public record TokenUsage(long promptTokens, long cachedTokens, long completionTokens) {}
--- a/core/src/main/java/org/quetzalshunt/core/attempt/WeightsAnswer.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/WeightsAnswer.java
@@ -1,16 +1,16 @@
 package org.quetzalshunt.core.attempt;
 
-/** What the weight store said. */
+/** Response of the weight store to a request for a model version. */
 public sealed interface WeightsAnswer {
     /** The version can be loaded. */
     record Ready() implements WeightsAnswer {}
 
-    /** The store is over its rate; ask again after so many milliseconds. */
+    /** The store's rate limit is exceeded; retry after {@code millis}. */
     record Later(long millis) implements WeightsAnswer {}
 
-    /** The store lacks the version. */
+    /** The store does not have the version. */
     record Missing() implements WeightsAnswer {}
 
-    /** No answer. */
+    /** There was no response, or an unusable one. */
     record Unknown() implements WeightsAnswer {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/attempt/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Decisions of the process beside an endpoint, the only gate to it: which attempts run, who hears their frames, what
- * engine memory stays held, which models the engine is told to load.
+ * Decision logic of the sidecar, the only process that sends requests to an endpoint: which attempts run, which link
+ * receives their frames, which cache entries the engine keeps, and which models it loads.
  *
- * <p>No sockets, no threads, no clock: messages and the time come in, messages go out. {@link
- * org.quetzalshunt.core.attempt.EndpointGate} is the way in for attempts and cache leases.
+ * <p>Has no sockets, threads or clock: messages and the current time are passed in, and outputs are passed to a
+ * consumer. {@link org.quetzalshunt.core.attempt.EndpointGate} handles attempts and cache leases, {@link
+ * org.quetzalshunt.core.attempt.ModelRollout} handles model versions.
  */
 package org.quetzalshunt.core.attempt;
--- a/core/src/test/java/org/quetzalshunt/core/attempt/BrokenAnswerTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/BrokenAnswerTest.java
@@ -1,7 +1,7 @@
 package org.quetzalshunt.core.attempt;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.quetzalshunt.core.attempt.GateBench.LINK;
+import static org.quetzalshunt.core.attempt.GateHarness.LINK;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -10,90 +10,98 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quetzalshunt.core.document.ServiceKind;
 
-/** What is said of an answer that the endpoint did not give whole, and what is tried before. */
+/** Results and retries of attempts whose response the endpoint did not complete. */
 final class BrokenAnswerTest {
-    // A proxy between sidecar and engine drops the connection in mid-answer, or ends it politely without the end mark.
-    // The engine still has the request: the caller gets the rest, no word twice, and hears of nothing.
+    // A proxy between sidecar and engine drops the connection during a response, or closes it normally without the end
+    // marker. The engine still has the request, so the caller must get the rest without duplicate chunks and without an
+    // error.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void cutStreamIsResumedOnTheSameEngine(boolean politely) {
-        GateBench bench =
-                GateBench.of(ServiceKind.ENGINE).start(true).head(0, 200).data(0, "a", "b");
-        if (politely) {
-            bench.closed(0);
+    void cutStreamIsResumedOnTheSameEngine(boolean closedNormally) {
+        GateHarness harness =
+                GateHarness.of(ServiceKind.ENGINE).start(true).head(0, 200).data(0, "a", "b");
+        if (closedNormally) {
+            harness.closed(0);
         } else {
-            bench.failed(0, true);
+            harness.failed(0, true);
         }
-        List<GateOutput.ResumeRun> resumes = bench.all(GateOutput.ResumeRun.class);
+        List<GateOutput.ResumeRun> resumes = harness.outputsOf(GateOutput.ResumeRun.class);
         assertThat(resumes).hasSize(1);
         assertThat(resumes.get(0).fromEvent()).isEqualTo(2);
-        bench.data(0, "late").head(1, 200).data(0, "late").done(0).data(1, "c").done(1);
-        assertThat(bench.chunks(LINK)).containsExactly("0:a", "1:b", "2:c").inOrder();
-        assertThat(bench.outcome(LINK)).isEqualTo("OK RAN");
-        assertThat(bench.all(GateOutput.SendHead.class)).hasSize(1);
+        harness.data(0, "late")
+                .head(1, 200)
+                .data(0, "late")
+                .done(0)
+                .data(1, "c")
+                .done(1);
+        assertThat(harness.chunks(LINK)).containsExactly("0:a", "1:b", "2:c").inOrder();
+        assertThat(harness.outcome(LINK)).isEqualTo("OK RAN");
+        assertThat(harness.outputsOf(GateOutput.SendHead.class)).hasSize(1);
     }
 
-    // The same cut each few words, more often than a resume is tried without progress: each one that brings a word
-    // counts as progress, and the answer still comes whole.
+    // A response is cut after every token, more often than resumes without progress are allowed. A resume that brings a
+    // token must count as progress, so that the response is completed.
     @Test
-    void answerThatIsCutAgainAndAgainComesWhole() {
-        GateBench bench = GateBench.of(ServiceKind.ENGINE).start(true).head(0, 200);
+    void repeatedlyCutResponseIsCompleted() {
+        GateHarness harness = GateHarness.of(ServiceKind.ENGINE).start(true).head(0, 200);
         for (int run = 0; run < 10; run++) {
-            bench.data(run, "w").failed(run, true).head(run + 1, 200);
+            harness.data(run, "w").failed(run, true).head(run + 1, 200);
         }
-        bench.done(10);
-        assertThat(bench.outcome(LINK)).isEqualTo("OK RAN");
-        assertThat(bench.result(LINK).orElseThrow().chunks()).isEqualTo(10);
+        harness.done(10);
+        assertThat(harness.outcome(LINK)).isEqualTo("OK RAN");
+        assertThat(harness.result(LINK).orElseThrow().chunks()).isEqualTo(10);
     }
 
-    // An engine dies while it runs a request. Nothing answers the resumes, so its owner hears that the endpoint
-    // failed while running it, which counts against a request that kills engines.
+    // An engine dies while it runs a request, and the resumes get no answer. The owner must get ENDPOINT_FAILED with
+    // RAN, which counts against a request that crashes engines.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void deadEngineIsToldAsFailedWhileRunning(boolean refusesConnections) {
-        GateBench bench = GateBench.of(ServiceKind.ENGINE).start(true).failed(0, true);
+    void deadEngineIsReportedAsFailedWhileRunning(boolean refusesConnections) {
+        GateHarness harness = GateHarness.of(ServiceKind.ENGINE).start(true).failed(0, true);
         for (int run = 1; run <= 3; run++) {
-            assertThat(bench.outcome(LINK)).isEmpty();
-            bench.failed(run, !refusesConnections).pass(500);
+            assertThat(harness.outcome(LINK)).isEmpty();
+            harness.failed(run, !refusesConnections).advance(500);
         }
-        assertThat(bench.outcome(LINK)).isEqualTo("ENDPOINT_FAILED RAN");
-        assertThat(bench.all(GateOutput.StartRun.class)).hasSize(1);
+        assertThat(harness.outcome(LINK)).isEqualTo("ENDPOINT_FAILED RAN");
+        assertThat(harness.outputsOf(GateOutput.StartRun.class)).hasSize(1);
     }
 
-    // The engine lives but cannot give the rest: it has forgotten the request, or refuses. The owner hears that the
-    // answer was cut, which does not count against the request.
+    // The engine is alive but cannot send the rest, because it no longer has the request or refuses the resume. The
+    // owner must get ANSWER_CUT, which does not count against the request.
     @ParameterizedTest
     @CsvSource({"404, 1", "503, 3"})
-    void livingEngineWithoutTheRestIsToldAsCut(int status, int resumes) {
-        GateBench bench = GateBench.of(ServiceKind.ENGINE)
+    void responseThatALiveEngineCannotResumeIsReportedAsCut(int status, int resumes) {
+        GateHarness harness = GateHarness.of(ServiceKind.ENGINE)
                 .start(true)
                 .head(0, 200)
                 .data(0, "a")
                 .failed(0, true);
         for (int run = 1; run <= resumes; run++) {
-            bench.head(run, status).closed(run).pass(500);
+            harness.head(run, status).closed(run).advance(500);
         }
-        assertThat(bench.outcome(LINK)).isEqualTo("ANSWER_CUT RAN");
-        assertThat(bench.result(LINK).orElseThrow().chunks()).isEqualTo(1);
+        assertThat(harness.outcome(LINK)).isEqualTo("ANSWER_CUT RAN");
+        assertThat(harness.result(LINK).orElseThrow().chunks()).isEqualTo(1);
     }
 
-    // A kept connection is closed by the engine at the moment of its use, so the request never arrived; or it did and
-    // the engine restarted. A repeatable request is sent once more, once; another one must not be.
+    // The engine closes a keep-alive connection just as a request is sent, so that the request never arrives; or the
+    // request arrived and the engine restarted. A repeatable request must be resent exactly once, any other request
+    // never.
     @ParameterizedTest
     @CsvSource({"true, 2, ENDPOINT_REFUSED UNKNOWN", "false, 1, OUTCOME_UNKNOWN UNKNOWN"})
-    void requestThatTheEngineNeverSawIsSentOnceMoreIfRepeatable(boolean repeatable, int sent, String outcome) {
-        GateBench bench = GateBench.of(ServiceKind.ENGINE)
+    void requestUnknownToTheEngineIsResentOnceIfRepeatable(boolean repeatable, int sent, String outcome) {
+        GateHarness harness = GateHarness.of(ServiceKind.ENGINE)
                 .start(repeatable)
                 .failed(0, true)
                 .head(1, 404)
                 .closed(1)
                 .head(2, 503)
                 .closed(2);
-        assertThat(bench.all(GateOutput.StartRun.class)).hasSize(sent);
-        assertThat(bench.outcome(LINK)).isEqualTo(outcome);
+        assertThat(harness.outputsOf(GateOutput.StartRun.class)).hasSize(sent);
+        assertThat(harness.outcome(LINK)).isEqualTo(outcome);
     }
 
-    // What an engine says before any word decides whether another may be asked, so "not run" must be true.
+    // The result of a refusal before the first token decides whether another endpoint may be tried, so NOT_RUN must be
+    // true.
     @ParameterizedTest
     @CsvSource({
         "503, ENDPOINT_REFUSED NOT_RUN, 0",
@@ -101,26 +109,26 @@
         "400, ENDPOINT_REFUSED NOT_RUN, 1",
         "500, ENDPOINT_REFUSED RAN, 1"
     })
-    void refusalOfAnEngine(int status, String outcome, int chunks) {
-        GateBench bench = GateBench.of(ServiceKind.ENGINE)
+    void refusalIsReportedAsNotRunOnlyIfTrue(int status, String outcome, int chunks) {
+        GateHarness harness = GateHarness.of(ServiceKind.ENGINE)
                 .start(true)
                 .head(0, status)
                 .data(0, "{", "}")
                 .closed(0);
-        assertThat(bench.outcome(LINK)).isEqualTo(outcome);
-        assertThat(bench.chunks(LINK)).hasSize(chunks);
+        assertThat(harness.outcome(LINK)).isEqualTo(outcome);
+        assertThat(harness.chunks(LINK)).hasSize(chunks);
     }
 
-    // An endpoint is gone before anything was sent: the connection is refused. Nothing ran, so another may be tried.
+    // An endpoint refuses the connection before anything was sent. Nothing ran, so another endpoint may be tried.
     @ParameterizedTest
     @CsvSource({"ENGINE, true", "PLAIN, true", "PLAIN, false"})
-    void refusedConnectionIsNotRun(ServiceKind kind, boolean repeatable) {
-        GateBench bench = GateBench.of(kind).start(repeatable).failed(0, false);
-        assertThat(bench.outcome(LINK)).isEqualTo("ENDPOINT_FAILED NOT_RUN");
+    void refusedConnectionIsReportedAsNotRun(ServiceKind kind, boolean repeatable) {
+        GateHarness harness = GateHarness.of(kind).start(repeatable).failed(0, false);
+        assertThat(harness.outcome(LINK)).isEqualTo("ENDPOINT_FAILED NOT_RUN");
     }
 
-    // A plain service runs a call and its connection breaks before the answer. Billing the family again is worse than
-    // saying that the outcome is not known; a question may be asked again, if no part of an answer was passed on.
+    // The connection breaks while a plain service runs a call. For a non-repeatable call, such as a billing, an unknown
+    // outcome is better than a second run. A repeatable call is resent if no part of a response was forwarded.
     @ParameterizedTest
     @CsvSource({
         "false, false, 1, OUTCOME_UNKNOWN UNKNOWN",
@@ -128,29 +136,29 @@
         "true, false, 2, ENDPOINT_FAILED RAN",
         "true, true, 1, ENDPOINT_FAILED RAN"
     })
-    void plainCallWhoseConnectionBreaks(boolean repeatable, boolean headCame, int sent, String outcome) {
-        GateBench bench = GateBench.of(ServiceKind.PLAIN).start(repeatable);
-        if (headCame) {
-            bench.head(0, 200);
+    void brokenPlainCallIsResentOnlyIfRepeatable(boolean repeatable, boolean headReceived, int sent, String outcome) {
+        GateHarness harness = GateHarness.of(ServiceKind.PLAIN).start(repeatable);
+        if (headReceived) {
+            harness.head(0, 200);
         }
-        bench.failed(0, true).failed(1, false);
-        assertThat(bench.all(GateOutput.StartRun.class)).hasSize(sent);
-        assertThat(bench.outcome(LINK)).isEqualTo(outcome);
+        harness.failed(0, true).failed(1, false);
+        assertThat(harness.outputsOf(GateOutput.StartRun.class)).hasSize(sent);
+        assertThat(harness.outcome(LINK)).isEqualTo(outcome);
     }
 
-    // A huge answer of a plain service is passed on whole, but not kept: memory for a resume is bounded, and a
-    // receiver that lost its link hears that the answer was cut.
+    // A very large response of a plain service must be forwarded completely but not retained, because memory for
+    // replays is bounded. A receiver that lost its link must get ANSWER_CUT.
     @Test
-    void answerTooLargeToKeepCannotBeResumed() {
-        GateBench bench = GateBench.of(ServiceKind.PLAIN).start(true).head(0, 200);
+    void responseTooLargeToRetainCannotBeResumed() {
+        GateHarness harness = GateHarness.of(ServiceKind.PLAIN).start(true).head(0, 200);
         String megabyte = "x".repeat(1024 * 1024);
         for (int part = 0; part < 10; part++) {
-            bench.data(0, megabyte);
+            harness.data(0, megabyte);
         }
-        bench.gate.resume(2, GateBench.ATTEMPT, 3);
-        bench.closed(0);
-        assertThat(bench.chunks(LINK)).hasSize(10);
-        assertThat(bench.outcome(LINK)).isEqualTo("OK RAN");
-        assertThat(bench.outcome(2)).isEqualTo("ANSWER_CUT RAN");
+        harness.gate.resume(2, GateHarness.ATTEMPT, 3);
+        harness.closed(0);
+        assertThat(harness.chunks(LINK)).hasSize(10);
+        assertThat(harness.outcome(LINK)).isEqualTo("OK RAN");
+        assertThat(harness.outcome(2)).isEqualTo("ANSWER_CUT RAN");
     }
 }
--- a/core/src/test/java/org/quetzalshunt/core/attempt/CacheLeasesTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/CacheLeasesTest.java
@@ -1,9 +1,9 @@
 package org.quetzalshunt.core.attempt;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.quetzalshunt.core.attempt.GateBench.EPOCH;
-import static org.quetzalshunt.core.attempt.GateBench.LEASE_MILLIS;
-import static org.quetzalshunt.core.attempt.GateBench.SHARD;
+import static org.quetzalshunt.core.attempt.GateHarness.EPOCH;
+import static org.quetzalshunt.core.attempt.GateHarness.LEASE_MILLIS;
+import static org.quetzalshunt.core.attempt.GateHarness.SHARD;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -12,119 +12,121 @@
 import org.quetzalshunt.core.document.ServiceKind;
 
 final class CacheLeasesTest {
-    // The entry that owns a program dies. Nobody renews, nobody says that the program ended, and the engine would
-    // hold its memory for ever: after the lease it is freed, once.
+    // The entry process that owns a program dies, so its lease is neither renewed nor released, and the engine would
+    // hold the memory for ever. The cache entry must be freed once the lease has expired, and only once.
     @Test
-    void lapsedLeaseIsFreed() {
-        GateBench bench = finished();
-        bench.pass(LEASE_MILLIS - 500);
-        assertThat(bench.all(GateOutput.FreeCache.class)).isEmpty();
-        bench.pass(1_000);
-        assertThat(bench.all(GateOutput.FreeCache.class)).hasSize(1);
-        bench.gate.cacheFreed("program", true, bench.now);
-        bench.pass(LEASE_MILLIS);
-        assertThat(bench.all(GateOutput.FreeCache.class)).hasSize(1);
-        assertThat(bench.gate.counts().heldPrograms()).isEqualTo(0);
-        assertThat(bench.gate.counts().freedPrograms()).isEqualTo(1);
+    void expiredLeaseIsFreedOnce() {
+        GateHarness harness = harnessWithFinishedAttempt();
+        harness.advance(LEASE_MILLIS - 500);
+        assertThat(harness.outputsOf(GateOutput.FreeCache.class)).isEmpty();
+        harness.advance(1_000);
+        assertThat(harness.outputsOf(GateOutput.FreeCache.class)).hasSize(1);
+        harness.gate.cacheFreed("program", true, harness.now);
+        harness.advance(LEASE_MILLIS);
+        assertThat(harness.outputsOf(GateOutput.FreeCache.class)).hasSize(1);
+        assertThat(harness.gate.counts().heldPrograms()).isEqualTo(0);
+        assertThat(harness.gate.counts().freedPrograms()).isEqualTo(1);
     }
 
-    // A program pauses for a tool longer than a lease, and its owner renews meanwhile: its cache must still be there.
+    // A program waits for a tool longer than one lease period while its owner renews the lease. Its cache entry must be
+    // kept.
     @Test
-    void renewedLeaseStays() {
-        GateBench bench = finished();
+    void renewedLeaseIsNotFreed() {
+        GateHarness harness = harnessWithFinishedAttempt();
         for (int renewal = 0; renewal < 5; renewal++) {
-            bench.pass(LEASE_MILLIS / 2);
-            bench.gate.renewCache(SHARD, EPOCH, List.of("program"), LEASE_MILLIS, bench.now);
+            harness.advance(LEASE_MILLIS / 2);
+            harness.gate.renewCache(SHARD, EPOCH, List.of("program"), LEASE_MILLIS, harness.now);
         }
-        assertThat(bench.all(GateOutput.FreeCache.class)).isEmpty();
+        assertThat(harness.outputsOf(GateOutput.FreeCache.class)).isEmpty();
     }
 
-    // An owner paused past its lease wakes up and releases what it thinks ended, while the new owner has the program
-    // running. Only the present owner's word counts.
+    // An owner that was paused past its lease resumes and releases a program that the new owner is running. Only a
+    // release by the current owner may take effect.
     @ParameterizedTest
     @CsvSource({"-1, 0", "0, 1", "1, 1"})
-    void releaseOfAFormerOwnerIsVoid(long epochDifference, int freed) {
-        GateBench bench = finished();
-        bench.gate.releaseCache(SHARD, EPOCH + epochDifference, "program", bench.now);
-        bench.pass(500);
-        assertThat(bench.all(GateOutput.FreeCache.class)).hasSize(freed);
+    void releaseByAFormerOwnerIsIgnored(long epochDifference, int freed) {
+        GateHarness harness = harnessWithFinishedAttempt();
+        harness.gate.releaseCache(SHARD, EPOCH + epochDifference, "program", harness.now);
+        harness.advance(500);
+        assertThat(harness.outputsOf(GateOutput.FreeCache.class)).hasSize(freed);
     }
 
-    // The same, and the new owner has only shown itself here by work for another program: it has not renewed yet.
+    // As above, but the new owner is known only from a renewal for another program and has not renewed this lease yet.
     @Test
-    void formerOwnerIsKnownFromWorkForAnotherProgram() {
-        GateBench bench = finished();
-        bench.gate.renewCache(SHARD, EPOCH + 1, List.of("another"), LEASE_MILLIS, bench.now);
-        bench.gate.releaseCache(SHARD, EPOCH, "program", bench.now);
-        bench.pass(500);
-        assertThat(bench.all(GateOutput.FreeCache.class)).isEmpty();
+    void releaseByAFormerOwnerIsIgnoredBeforeTheNewOwnerRenews() {
+        GateHarness harness = harnessWithFinishedAttempt();
+        harness.gate.renewCache(SHARD, EPOCH + 1, List.of("another"), LEASE_MILLIS, harness.now);
+        harness.gate.releaseCache(SHARD, EPOCH, "program", harness.now);
+        harness.advance(500);
+        assertThat(harness.outputsOf(GateOutput.FreeCache.class)).isEmpty();
     }
 
-    // A sidecar is stopped as planned and no one else frees the engine's memory afterwards. What is held goes at once,
-    // and a renewal that is still on its way holds nothing.
+    // After a planned stop of a sidecar, no other process frees the engine's memory. All cache entries must be freed at
+    // once, and a renewal that arrives late must not create a lease.
     @Test
-    void leavingFreesWhatIsHeld() {
-        GateBench bench = finished();
-        bench.gate.leave();
-        bench.pass(500);
-        bench.gate.renewCache(SHARD, EPOCH, List.of("program", "another"), LEASE_MILLIS, bench.now);
-        assertThat(bench.all(GateOutput.FreeCache.class)).containsExactly(new GateOutput.FreeCache("program"));
-        bench.gate.cacheFreed("program", true, bench.now);
-        assertThat(bench.gate.counts().heldPrograms()).isEqualTo(0);
+    void plannedStopFreesAllCacheEntries() {
+        GateHarness harness = harnessWithFinishedAttempt();
+        harness.gate.leave();
+        harness.advance(500);
+        harness.gate.renewCache(SHARD, EPOCH, List.of("program", "another"), LEASE_MILLIS, harness.now);
+        assertThat(harness.outputsOf(GateOutput.FreeCache.class)).containsExactly(new GateOutput.FreeCache("program"));
+        harness.gate.cacheFreed("program", true, harness.now);
+        assertThat(harness.gate.counts().heldPrograms()).isEqualTo(0);
     }
 
-    // The engine is restarting when a program ends, so the first attempts to free its memory get no answer.
+    // The engine is restarting when a program ends, so the first requests to free its cache entry get no answer.
     @Test
-    void freeingIsRepeatedUntilTheEngineAnswers() {
-        GateBench bench = finished();
-        bench.gate.releaseCache(SHARD, EPOCH, "program", bench.now);
+    void freeIsRetriedUntilTheEngineAnswers() {
+        GateHarness harness = harnessWithFinishedAttempt();
+        harness.gate.releaseCache(SHARD, EPOCH, "program", harness.now);
         for (int tries = 1; tries <= 6; tries++) {
-            bench.pass(5_500);
-            assertThat(bench.all(GateOutput.FreeCache.class)).hasSize(tries);
-            bench.gate.cacheFreed("program", false, bench.now);
+            harness.advance(5_500);
+            assertThat(harness.outputsOf(GateOutput.FreeCache.class)).hasSize(tries);
+            harness.gate.cacheFreed("program", false, harness.now);
         }
-        assertThat(bench.gate.counts().heldPrograms()).isEqualTo(1);
+        assertThat(harness.gate.counts().heldPrograms()).isEqualTo(1);
     }
 
-    // A lease lapses while the program's turn still runs: freeing now would have the engine compute it all again.
+    // A lease expires while an attempt of the program is running. Freeing the cache entry then would make the engine
+    // compute all of it again.
     @Test
     void runningProgramKeepsItsCache() {
-        GateBench bench = GateBench.of(ServiceKind.ENGINE).start(true).head(0, 200);
-        bench.gate.releaseCache(SHARD, EPOCH, "program", bench.now);
-        bench.pass(1_000);
-        assertThat(bench.all(GateOutput.FreeCache.class)).isEmpty();
-        bench.done(0).pass(500);
-        assertThat(bench.all(GateOutput.FreeCache.class)).hasSize(1);
+        GateHarness harness = GateHarness.of(ServiceKind.ENGINE).start(true).head(0, 200);
+        harness.gate.releaseCache(SHARD, EPOCH, "program", harness.now);
+        harness.advance(1_000);
+        assertThat(harness.outputsOf(GateOutput.FreeCache.class)).isEmpty();
+        harness.done(0).advance(500);
+        assertThat(harness.outputsOf(GateOutput.FreeCache.class)).hasSize(1);
     }
 
-    // The program comes back while the engine is still being told to free it: the entry counts as held again.
+    // A program's lease is renewed while the engine is freeing its cache entry. The entry must count as held again.
     @Test
-    void programThatComesBackWhileItIsFreed() {
-        GateBench bench = finished();
-        bench.gate.releaseCache(SHARD, EPOCH, "program", bench.now);
-        bench.pass(500);
-        bench.gate.renewCache(SHARD, EPOCH, List.of("program"), LEASE_MILLIS, bench.now);
-        bench.gate.cacheFreed("program", true, bench.now);
-        assertThat(bench.gate.counts().heldPrograms()).isEqualTo(1);
+    void leaseRenewedDuringAFreeIsKept() {
+        GateHarness harness = harnessWithFinishedAttempt();
+        harness.gate.releaseCache(SHARD, EPOCH, "program", harness.now);
+        harness.advance(500);
+        harness.gate.renewCache(SHARD, EPOCH, List.of("program"), LEASE_MILLIS, harness.now);
+        harness.gate.cacheFreed("program", true, harness.now);
+        assertThat(harness.gate.counts().heldPrograms()).isEqualTo(1);
     }
 
-    // A sidecar restarts and knows no lease. Living owners renew within one lease time; what the engine holds beyond
-    // that belongs to programs that are gone.
+    // A restarted sidecar has no leases. Live owners renew theirs within one lease period; cache entries without a
+    // lease after that belong to programs that no longer exist, and must be freed.
     @Test
-    void restartFreesWhatNoLeaseCovers() {
-        GateBench bench = GateBench.of(ServiceKind.ENGINE);
-        bench.pass(LEASE_MILLIS - 500);
-        bench.gate.renewCache(SHARD, EPOCH, List.of("living"), LEASE_MILLIS, bench.now);
-        assertThat(bench.all(GateOutput.ListCache.class)).isEmpty();
-        bench.pass(1_000);
-        assertThat(bench.all(GateOutput.ListCache.class)).hasSize(1);
-        bench.gate.cacheListed(List.of("living", "gone"), bench.now);
-        bench.pass(500);
-        assertThat(bench.all(GateOutput.FreeCache.class)).containsExactly(new GateOutput.FreeCache("gone"));
+    void restartFreesEntriesWithoutALease() {
+        GateHarness harness = GateHarness.of(ServiceKind.ENGINE);
+        harness.advance(LEASE_MILLIS - 500);
+        harness.gate.renewCache(SHARD, EPOCH, List.of("living"), LEASE_MILLIS, harness.now);
+        assertThat(harness.outputsOf(GateOutput.ListCache.class)).isEmpty();
+        harness.advance(1_000);
+        assertThat(harness.outputsOf(GateOutput.ListCache.class)).hasSize(1);
+        harness.gate.cacheListed(List.of("living", "gone"), harness.now);
+        harness.advance(500);
+        assertThat(harness.outputsOf(GateOutput.FreeCache.class)).containsExactly(new GateOutput.FreeCache("gone"));
     }
 
-    private static GateBench finished() {
-        return GateBench.of(ServiceKind.ENGINE)
+    private static GateHarness harnessWithFinishedAttempt() {
+        return GateHarness.of(ServiceKind.ENGINE)
                 .start(true)
                 .head(0, 200)
                 .data(0, "a")
--- a/core/src/test/java/org/quetzalshunt/core/attempt/EndpointGateTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/EndpointGateTest.java
@@ -1,11 +1,11 @@
 package org.quetzalshunt.core.attempt;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.quetzalshunt.core.attempt.GateBench.ATTEMPT;
-import static org.quetzalshunt.core.attempt.GateBench.EPOCH;
-import static org.quetzalshunt.core.attempt.GateBench.LINK;
-import static org.quetzalshunt.core.attempt.GateBench.SHARD;
-import static org.quetzalshunt.core.attempt.GateBench.order;
+import static org.quetzalshunt.core.attempt.GateHarness.ATTEMPT;
+import static org.quetzalshunt.core.attempt.GateHarness.EPOCH;
+import static org.quetzalshunt.core.attempt.GateHarness.LINK;
+import static org.quetzalshunt.core.attempt.GateHarness.SHARD;
+import static org.quetzalshunt.core.attempt.GateHarness.order;
 
 import java.util.List;
 import java.util.Map;
@@ -19,120 +19,122 @@
 final class EndpointGateTest {
     private static final long OTHER_LINK = 2;
 
-    // A stone lorry would be sent twice: an entry orders a call, its link breaks, and it orders the same attempt again
-    // on a new link while the call runs, or after it ended. The copy must only fetch the frames.
+    // A non-repeatable call would be sent twice: the link of an entry process breaks, and it orders the same attempt
+    // again on a new link while the call runs or after it ended. The duplicate order must only fetch the frames.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void copyOfAnOrderNeverRunsAgain(boolean afterEnd) {
-        GateBench bench =
-                GateBench.of(ServiceKind.PLAIN).start(false).head(0, 200).data(0, "a");
+    void duplicateOrderIsNotRunAgain(boolean afterEnd) {
+        GateHarness harness =
+                GateHarness.of(ServiceKind.PLAIN).start(false).head(0, 200).data(0, "a");
         if (afterEnd) {
-            bench.data(0, "b").closed(0);
+            harness.data(0, "b").closed(0);
         }
-        bench.gate.linkClosed(LINK, bench.now);
-        bench.gate.start(OTHER_LINK, order(ATTEMPT, EPOCH, false), bench.now);
+        harness.gate.linkClosed(LINK, harness.now);
+        harness.gate.start(OTHER_LINK, order(ATTEMPT, EPOCH, false), harness.now);
         if (!afterEnd) {
-            bench.data(0, "b").closed(0);
+            harness.data(0, "b").closed(0);
         }
-        assertThat(bench.all(GateOutput.StartRun.class)).hasSize(1);
-        assertThat(bench.chunks(OTHER_LINK)).containsExactly("0:a", "1:b").inOrder();
-        assertThat(bench.outcome(OTHER_LINK)).isEqualTo("OK RAN");
+        assertThat(harness.outputsOf(GateOutput.StartRun.class)).hasSize(1);
+        assertThat(harness.chunks(OTHER_LINK)).containsExactly("0:a", "1:b").inOrder();
+        assertThat(harness.outcome(OTHER_LINK)).isEqualTo("OK RAN");
     }
 
-    // A call that was answered is ordered again half an hour later, by a copy that lay in a paused entry. Its frames
-    // are long gone from memory, but its id is not, so that it still does not run.
+    // A paused entry process sends a duplicate order half an hour after the call was answered. The frames have been
+    // evicted, but the attempt id is still cached, so the call must not run again.
     @Test
-    void lateCopyAfterTheFramesAreGoneDoesNotRun() {
-        GateBench bench =
-                GateBench.of(ServiceKind.PLAIN).start(false).head(0, 200).closed(0);
-        bench.now += 1_800_000;
-        bench.pass(0);
-        bench.gate.start(OTHER_LINK, order(ATTEMPT, EPOCH, false), bench.now);
-        assertThat(bench.all(GateOutput.StartRun.class)).hasSize(1);
-        assertThat(bench.outcome(OTHER_LINK)).isEqualTo("OUTCOME_UNKNOWN RAN");
-        assertThat(bench.gate.counts().finished()).isEqualTo(0);
+    void lateDuplicateAfterFrameEvictionIsNotRun() {
+        GateHarness harness =
+                GateHarness.of(ServiceKind.PLAIN).start(false).head(0, 200).closed(0);
+        harness.now += 1_800_000;
+        harness.advance(0);
+        harness.gate.start(OTHER_LINK, order(ATTEMPT, EPOCH, false), harness.now);
+        assertThat(harness.outputsOf(GateOutput.StartRun.class)).hasSize(1);
+        assertThat(harness.outcome(OTHER_LINK)).isEqualTo("OUTCOME_UNKNOWN RAN");
+        assertThat(harness.gate.counts().finished()).isEqualTo(0);
     }
 
-    // A caller hangs up; the entry's cancel goes out on a new link and arrives before the order, which was stuck in
-    // the old one. The order comes last and must not run.
+    // A caller disconnects. The cancel is sent on a new link and arrives before the order, which was delayed on the old
+    // link. The order must not run when it arrives.
     @Test
-    void orderAfterItsCancelDoesNotRun() {
-        GateBench bench = GateBench.of(ServiceKind.ENGINE);
-        bench.gate.cancel(OTHER_LINK, ATTEMPT, bench.now);
-        bench.start(true);
-        assertThat(bench.all(GateOutput.StartRun.class)).isEmpty();
-        assertThat(bench.outcome(LINK)).isEqualTo("CANCELLED UNKNOWN");
+    void orderThatArrivesAfterItsCancelIsNotRun() {
+        GateHarness harness = GateHarness.of(ServiceKind.ENGINE);
+        harness.gate.cancel(OTHER_LINK, ATTEMPT, harness.now);
+        harness.start(true);
+        assertThat(harness.outputsOf(GateOutput.StartRun.class)).isEmpty();
+        assertThat(harness.outcome(LINK)).isEqualTo("CANCELLED UNKNOWN");
     }
 
-    // A caller hangs up in mid-answer. The engine is told, and the words that it still had on the way reach nobody.
+    // A caller disconnects during the response. The request must be stopped at the engine, and tokens that still arrive
+    // must not be forwarded.
     @Test
     void lateFramesOfACancelledAttemptAreDropped() {
-        GateBench bench =
-                GateBench.of(ServiceKind.ENGINE).start(true).head(0, 200).data(0, "a");
-        bench.gate.cancel(LINK, ATTEMPT, bench.now);
-        bench.data(0, "late").done(0);
-        assertThat(bench.chunks(LINK)).containsExactly("0:a");
-        assertThat(bench.all(GateOutput.StopRun.class)).hasSize(1);
-        assertThat(bench.outcome(LINK)).isEqualTo("CANCELLED RAN");
+        GateHarness harness =
+                GateHarness.of(ServiceKind.ENGINE).start(true).head(0, 200).data(0, "a");
+        harness.gate.cancel(LINK, ATTEMPT, harness.now);
+        harness.data(0, "late").done(0);
+        assertThat(harness.chunks(LINK)).containsExactly("0:a");
+        assertThat(harness.outputsOf(GateOutput.StopRun.class)).hasSize(1);
+        assertThat(harness.outcome(LINK)).isEqualTo("CANCELLED RAN");
     }
 
-    // The link to an entry breaks in mid-answer, and another link resumes from the chunk after the last that arrived.
-    // The caller gets each chunk once; the first link's late cancel no longer counts.
+    // The link to an entry process breaks during the response, and another link resumes from the chunk after the last
+    // one received. Each chunk must be delivered once, and a late cancel on the first link must be ignored.
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void answerIsResumedOnAnotherLink(int from) {
-        GateBench bench =
-                GateBench.of(ServiceKind.ENGINE).start(true).head(0, 200).data(0, "a", "b");
-        bench.gate.resume(OTHER_LINK, ATTEMPT, from);
-        bench.gate.cancel(LINK, ATTEMPT, bench.now);
-        bench.data(0, "c").done(0);
+    void responseIsResumedOnAnotherLink(int from) {
+        GateHarness harness =
+                GateHarness.of(ServiceKind.ENGINE).start(true).head(0, 200).data(0, "a", "b");
+        harness.gate.resume(OTHER_LINK, ATTEMPT, from);
+        harness.gate.cancel(LINK, ATTEMPT, harness.now);
+        harness.data(0, "c").done(0);
         List<String> all = List.of("0:a", "1:b", "2:c");
-        assertThat(bench.chunks(OTHER_LINK)).isEqualTo(all.subList(from, all.size()));
-        assertThat(bench.result(OTHER_LINK).orElseThrow().chunks()).isEqualTo(all.size());
-        assertThat(bench.all(GateOutput.SendHead.class)).hasSize(from == 0 ? 2 : 1);
-        assertThat(bench.outcome(LINK)).isEmpty();
+        assertThat(harness.chunks(OTHER_LINK)).isEqualTo(all.subList(from, all.size()));
+        assertThat(harness.result(OTHER_LINK).orElseThrow().chunks()).isEqualTo(all.size());
+        assertThat(harness.outputsOf(GateOutput.SendHead.class)).hasSize(from == 0 ? 2 : 1);
+        assertThat(harness.outcome(LINK)).isEmpty();
     }
 
-    // A sidecar restarted and an entry asks for an attempt of the former process. It may have run there: nothing
-    // else would be true.
+    // A sidecar restarts and an entry process requests an attempt of the former process. The attempt may have run
+    // there, so any other result than an unknown outcome could be wrong.
     @Test
-    void unknownAttemptIsOfUnknownOutcome() {
-        GateBench bench = GateBench.of(ServiceKind.ENGINE);
-        bench.gate.resume(LINK, ATTEMPT, 0);
-        assertThat(bench.outcome(LINK)).isEqualTo("OUTCOME_UNKNOWN UNKNOWN");
-        assertThat(bench.result(LINK).orElseThrow().chunks()).isEqualTo(0);
+    void attemptOfAFormerProcessHasUnknownOutcome() {
+        GateHarness harness = GateHarness.of(ServiceKind.ENGINE);
+        harness.gate.resume(LINK, ATTEMPT, 0);
+        assertThat(harness.outcome(LINK)).isEqualTo("OUTCOME_UNKNOWN UNKNOWN");
+        assertThat(harness.result(LINK).orElseThrow().chunks()).isEqualTo(0);
     }
 
-    // An entry is paused past its lease; another takes the shard over and orders work here. The first wakes up and
-    // goes on as owner: its new order is refused, its repeatable attempt has been stopped, and its call that must not
-    // be repeated ran to the end. The order of an owner is judged by epochs alone, no clock.
+    // An entry process is paused past its lease, and another one takes over the shard and sends orders. When the first
+    // one resumes, its new order must be refused, its repeatable attempt must have been stopped, and its non-repeatable
+    // call must have run to the end. Only epochs decide this, no clock.
     @ParameterizedTest
     @CsvSource({"true, STALE_EPOCH RAN, 1", "false, OK RAN, 0"})
-    void pausedOwnerIsHarmless(boolean repeatable, String outcomeOfRunning, int stopped) {
-        GateBench bench = GateBench.of(ServiceKind.PLAIN).start(repeatable).head(0, 200);
-        bench.gate.start(OTHER_LINK, order(ATTEMPT + 1, EPOCH + 1, true), bench.now);
-        bench.closed(0);
-        assertThat(bench.outcome(LINK)).isEqualTo(outcomeOfRunning);
-        assertThat(bench.all(GateOutput.StopRun.class)).hasSize(stopped);
-        bench.gate.start(LINK, order(ATTEMPT + 2, EPOCH, repeatable), bench.now);
-        assertThat(bench.outcome(LINK)).isEqualTo("STALE_EPOCH NOT_RUN");
-        bench.gate.start(LINK, order(ATTEMPT, EPOCH, repeatable), bench.now);
-        assertThat(bench.outcome(LINK)).isEqualTo("STALE_EPOCH RAN");
+    void ordersOfAPausedFormerOwnerAreRefused(boolean repeatable, String outcomeOfRunning, int stopped) {
+        GateHarness harness =
+                GateHarness.of(ServiceKind.PLAIN).start(repeatable).head(0, 200);
+        harness.gate.start(OTHER_LINK, order(ATTEMPT + 1, EPOCH + 1, true), harness.now);
+        harness.closed(0);
+        assertThat(harness.outcome(LINK)).isEqualTo(outcomeOfRunning);
+        assertThat(harness.outputsOf(GateOutput.StopRun.class)).hasSize(stopped);
+        harness.gate.start(LINK, order(ATTEMPT + 2, EPOCH, repeatable), harness.now);
+        assertThat(harness.outcome(LINK)).isEqualTo("STALE_EPOCH NOT_RUN");
+        harness.gate.start(LINK, order(ATTEMPT, EPOCH, repeatable), harness.now);
+        assertThat(harness.outcome(LINK)).isEqualTo("STALE_EPOCH RAN");
     }
 
-    // An order waited in a queue until nobody can use its answer; running it would waste the endpoint.
+    // An order was queued until its deadline had passed. Running it would waste the endpoint's capacity.
     @Test
-    void orderWithoutTimeLeftDoesNotRun() {
-        GateBench bench = GateBench.of(ServiceKind.ENGINE);
+    void orderPastItsDeadlineIsNotRun() {
+        GateHarness harness = GateHarness.of(ServiceKind.ENGINE);
         AttemptOrder late = new AttemptOrder(
                 ATTEMPT, SHARD, EPOCH, "program", "POST", "/", Map.of(), new byte[0], 0, 0, 1, true, 1);
-        bench.gate.start(LINK, late, bench.now);
-        assertThat(bench.all(GateOutput.StartRun.class)).isEmpty();
-        assertThat(bench.outcome(LINK)).isEqualTo("DEADLINE_PASSED NOT_RUN");
+        harness.gate.start(LINK, late, harness.now);
+        assertThat(harness.outputsOf(GateOutput.StartRun.class)).isEmpty();
+        assertThat(harness.outcome(LINK)).isEqualTo("DEADLINE_PASSED NOT_RUN");
     }
 
-    // An engine hangs, or the connection is half-open after a cable was pulled: TCP shows neither. The attempt is
-    // given up when no word came for its stall time; a plain call that must not be repeated may have run.
+    // An engine hangs, or the connection is half-open after a cable was pulled, and TCP reports neither. The attempt
+    // must be aborted after its stall time without progress; a non-repeatable call to a plain service may have run.
     @ParameterizedTest
     @CsvSource({
         "ENGINE, true, ENDPOINT_STALLED RAN",
@@ -140,69 +142,72 @@
         "PLAIN, true, ENDPOINT_STALLED RAN",
         "PLAIN, false, OUTCOME_UNKNOWN UNKNOWN"
     })
-    void hangIsFoundByMissingProgress(ServiceKind kind, boolean repeatable, String outcome) {
-        GateBench bench = GateBench.of(kind).start(repeatable).pass(GateBench.STALL_MILLIS - 100);
-        assertThat(bench.outcome(LINK)).isEmpty();
-        bench.pass(200);
-        assertThat(bench.outcome(LINK)).isEqualTo(outcome);
-        assertThat(bench.all(GateOutput.StopRun.class)).hasSize(1);
+    void stalledAttemptIsAborted(ServiceKind kind, boolean repeatable, String outcome) {
+        GateHarness harness = GateHarness.of(kind).start(repeatable).advance(GateHarness.STALL_MILLIS - 100);
+        assertThat(harness.outcome(LINK)).isEmpty();
+        harness.advance(200);
+        assertThat(harness.outcome(LINK)).isEqualTo(outcome);
+        assertThat(harness.outputsOf(GateOutput.StopRun.class)).hasSize(1);
     }
 
-    // A slow engine gives a word each second and a half. It makes progress, so it is not given up before the deadline.
+    // A slow engine sends a token every 1.5 s. That is progress, so the attempt must not be aborted before its
+    // deadline.
     @Test
-    void slowAnswerEndsAtItsDeadlineOnly() {
-        GateBench bench = GateBench.of(ServiceKind.ENGINE).start(true).head(0, 200);
+    void slowResponseIsNotAbortedAsStalled() {
+        GateHarness harness = GateHarness.of(ServiceKind.ENGINE).start(true).head(0, 200);
         for (int word = 0; word < 13; word++) {
-            bench.pass(1_500).data(0, "w");
+            harness.advance(1_500).data(0, "w");
         }
-        assertThat(bench.outcome(LINK)).isEmpty();
-        bench.pass(1_000);
-        assertThat(bench.outcome(LINK)).isEqualTo("DEADLINE_PASSED_RUNNING RAN");
-        assertThat(bench.result(LINK).orElseThrow().chunks()).isEqualTo(13);
+        assertThat(harness.outcome(LINK)).isEmpty();
+        harness.advance(1_000);
+        assertThat(harness.outcome(LINK)).isEqualTo("DEADLINE_PASSED_RUNNING RAN");
+        assertThat(harness.result(LINK).orElseThrow().chunks()).isEqualTo(13);
     }
 
-    // An entry dies. Its callers are gone with it, so what can be repeated elsewhere stops after a grace; a call that
-    // must not be repeated runs to its end, so that its record is true.
+    // An entry process dies, and its callers lose their connections. A repeatable attempt must stop after the grace
+    // period; a non-repeatable call must run to its end, so that the recorded outcome is true.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void attemptWithoutReceiver(boolean repeatable) {
-        GateBench bench = GateBench.of(ServiceKind.PLAIN).start(repeatable).head(0, 200);
-        bench.gate.linkClosed(LINK, bench.now);
+    void attemptWithoutReceiverStopsOnlyIfRepeatable(boolean repeatable) {
+        GateHarness harness =
+                GateHarness.of(ServiceKind.PLAIN).start(repeatable).head(0, 200);
+        harness.gate.linkClosed(LINK, harness.now);
         for (int part = 0; part < 11; part++) {
-            bench.pass(1_000).data(0, "p");
+            harness.advance(1_000).data(0, "p");
         }
-        bench.closed(0);
-        bench.gate.resume(OTHER_LINK, ATTEMPT, 0);
-        assertThat(bench.outcome(OTHER_LINK)).isEqualTo(repeatable ? "CANCELLED RAN" : "OK RAN");
+        harness.closed(0);
+        harness.gate.resume(OTHER_LINK, ATTEMPT, 0);
+        assertThat(harness.outcome(OTHER_LINK)).isEqualTo(repeatable ? "CANCELLED RAN" : "OK RAN");
     }
 
-    // A planned stop of the VM. What runs is finished, what comes is refused truly; at the end of the time allowed,
-    // what is still open is cut and told as it is.
+    // During a planned stop of the Vm, running attempts must finish and new orders must be refused as not run. Attempts
+    // that still run at the end of the drain period must be aborted with their true outcome.
     @ParameterizedTest
     @CsvSource({"ENGINE, true, ANSWER_CUT RAN", "PLAIN, true, ANSWER_CUT RAN", "PLAIN, false, OUTCOME_UNKNOWN UNKNOWN"})
-    void leavingFinishesWhatRunsAndRefusesTheRest(ServiceKind kind, boolean repeatable, String outcomeOfCut) {
-        GateBench bench = GateBench.of(kind).start(repeatable);
-        bench.gate.start(OTHER_LINK, order(ATTEMPT + 1, EPOCH, repeatable), bench.now);
-        bench.gate.leave();
-        bench.gate.start(LINK, order(ATTEMPT + 2, EPOCH, repeatable), bench.now);
-        assertThat(bench.outcome(LINK)).isEqualTo("STOPPING NOT_RUN");
-        bench.head(0, 200).data(0, "a").done(0).closed(0);
-        assertThat(bench.outcome(LINK)).isEqualTo("OK RAN");
-        bench.gate.cutAll(bench.now);
-        assertThat(bench.outcome(OTHER_LINK)).isEqualTo(outcomeOfCut);
-        assertThat(bench.gate.counts().running()).isEqualTo(0);
+    void plannedStopFinishesRunningAttemptsAndRefusesNewOrders(
+            ServiceKind kind, boolean repeatable, String outcomeOfAborted) {
+        GateHarness harness = GateHarness.of(kind).start(repeatable);
+        harness.gate.start(OTHER_LINK, order(ATTEMPT + 1, EPOCH, repeatable), harness.now);
+        harness.gate.leave();
+        harness.gate.start(LINK, order(ATTEMPT + 2, EPOCH, repeatable), harness.now);
+        assertThat(harness.outcome(LINK)).isEqualTo("STOPPING NOT_RUN");
+        harness.head(0, 200).data(0, "a").done(0).closed(0);
+        assertThat(harness.outcome(LINK)).isEqualTo("OK RAN");
+        harness.gate.cutAll(harness.now);
+        assertThat(harness.outcome(OTHER_LINK)).isEqualTo(outcomeOfAborted);
+        assertThat(harness.gate.counts().running()).isEqualTo(0);
     }
 
-    // A flood of short calls must not eat the memory of a small process.
+    // A flood of short calls must not exhaust the memory of a small process.
     @ParameterizedTest
     @EnumSource(ServiceKind.class)
-    void finishedRecordsAreBounded(ServiceKind kind) {
-        GateBench bench = GateBench.of(kind);
+    void finishedAttemptsAreBounded(ServiceKind kind) {
+        GateHarness harness = GateHarness.of(kind);
         for (long attempt = 0; attempt < AttemptTable.MAXIMUM_FINISHED + 500; attempt++) {
-            bench.gate.start(LINK, order(attempt, EPOCH, true), bench.now);
-            bench.gate.cancel(LINK, attempt, bench.now);
+            harness.gate.start(LINK, order(attempt, EPOCH, true), harness.now);
+            harness.gate.cancel(LINK, attempt, harness.now);
         }
-        bench.pass(0);
-        assertThat(bench.gate.counts().finished()).isEqualTo(AttemptTable.MAXIMUM_FINISHED);
+        harness.advance(0);
+        assertThat(harness.gate.counts().finished()).isEqualTo(AttemptTable.MAXIMUM_FINISHED);
     }
 }
--- a/core/src/test/java/org/quetzalshunt/core/attempt/EventStreamParserTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/EventStreamParserTest.java
@@ -16,11 +16,11 @@
     private final EventStreamParser parser =
             EventStreamParser.create(data -> events.add(new String(data, StandardCharsets.UTF_8)));
 
-    // The network splits an answer wherever it likes, also within CR LF and within a character; lines end in any of
-    // the three ways, comments keep a connection alive, and events of several lines are one.
+    // The network may split the stream anywhere, also within CR LF and within a character. Lines end in any of the
+    // three ways, comments serve as keep-alives, and several data lines form one event.
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 5, 1_000})
-    void eventsSplitAnywhere(int pieceBytes) {
+    void eventsAreParsedHoweverTheInputIsSplit(int pieceBytes) {
         byte[] stream =
                 ("\uFEFFdata: {\"a\":1}\r\n\r\n: alive\n\ndata:b\ndata:  c\n\nevent: x\rid: 1\rdata: d\u00e9\r\r"
                                 + "data\n\ndatax: no\n\nretry: 5\ndata: [DONE]\n\ndata: never ended")
@@ -34,29 +34,29 @@
                 .inOrder();
     }
 
-    // An event is passed on as soon as its blank line is there, not when the next one begins.
+    // An event must be emitted as soon as its blank line arrives, not when the next event begins.
     @ParameterizedTest
     @CsvSource({"'data: a\n\n', 1", "'data: a\n', 0", "'data: a\r\r', 1", "'data: a\r\n\r\n', 1"})
-    void eventIsGivenAtOnce(String stream, int given) {
+    void eventIsEmittedAtItsBlankLine(String stream, int emitted) {
         parser.accept(stream.getBytes(StandardCharsets.UTF_8));
-        assertThat(events).hasSize(given);
+        assertThat(events).hasSize(emitted);
     }
 
-    // An engine gone mad sends a line without end, or an event of lines without end. Memory stays bounded.
+    // A faulty engine sends a line without end, or an event of lines without end. Memory must stay bounded.
     @ParameterizedTest
     @ValueSource(strings = {"x", "data: y\n"})
-    void lengthIsBounded(String piece) {
+    void endlessLineOrEventIsRejected(String piece) {
         byte[] pieces = piece.repeat(1_024).getBytes(StandardCharsets.UTF_8);
-        boolean goesOn = true;
-        for (int count = 0; goesOn && count < 2_000; count++) {
-            goesOn = parser.accept(pieces);
+        boolean accepted = true;
+        for (int count = 0; accepted && count < 2_000; count++) {
+            accepted = parser.accept(pieces);
         }
-        assertThat(goesOn).isFalse();
+        assertThat(accepted).isFalse();
         assertThat(events).isEmpty();
     }
 
     @Test
-    void nothingIsGivenAfterTheBound() {
+    void noEventIsEmittedAfterTheLengthLimit() {
         parser.accept(new byte[EventStreamParser.MAXIMUM_EVENT_BYTES + 1]);
         assertThat(parser.accept("\n\ndata: a\n\n".getBytes(StandardCharsets.UTF_8)))
                 .isFalse();
--- a/core/src/test/java/org/quetzalshunt/core/attempt/GateBench.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/GateHarness.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import org.quetzalshunt.core.document.ServiceKind;
 
-/** A gate with a clock of its own, a scripted endpoint, and all that came out of it. */
-final class GateBench {
+/** A gate with a simulated clock, scripted endpoint events, and a record of all outputs. */
+final class GateHarness {
     static final long ATTEMPT = 9;
     static final long LINK = 1;
     static final int SHARD = 5;
@@ -21,15 +21,15 @@
     final EndpointGate gate;
     long now = 1_000_000;
 
-    private GateBench(ServiceKind kind) {
+    private GateHarness(ServiceKind kind) {
         gate = EndpointGate.create(GateSettings.of(kind), outputs::add, now);
     }
 
-    static GateBench of(ServiceKind kind) {
-        return new GateBench(kind);
+    static GateHarness of(ServiceKind kind) {
+        return new GateHarness(kind);
     }
 
-    GateBench start(boolean repeatable) {
+    GateHarness start(boolean repeatable) {
         gate.start(LINK, order(ATTEMPT, EPOCH, repeatable), now);
         return this;
     }
@@ -51,30 +51,30 @@
                 LEASE_MILLIS);
     }
 
-    GateBench head(int run, int status) {
-        return on(new EndpointEvent.Head(ATTEMPT, run, status, Map.of()));
+    GateHarness head(int run, int status) {
+        return dispatch(new EndpointEvent.Head(ATTEMPT, run, status, Map.of()));
     }
 
-    GateBench data(int run, String... texts) {
+    GateHarness data(int run, String... texts) {
         for (String text : texts) {
-            on(new EndpointEvent.Data(ATTEMPT, run, text.getBytes(StandardCharsets.UTF_8)));
+            dispatch(new EndpointEvent.Data(ATTEMPT, run, text.getBytes(StandardCharsets.UTF_8)));
         }
         return this;
     }
 
-    GateBench done(int run) {
-        return on(new EndpointEvent.Done(ATTEMPT, run));
+    GateHarness done(int run) {
+        return dispatch(new EndpointEvent.Done(ATTEMPT, run));
     }
 
-    GateBench closed(int run) {
-        return on(new EndpointEvent.Closed(ATTEMPT, run));
+    GateHarness closed(int run) {
+        return dispatch(new EndpointEvent.Closed(ATTEMPT, run));
     }
 
-    GateBench failed(int run, boolean mayHaveArrived) {
-        return on(new EndpointEvent.Failed(ATTEMPT, run, mayHaveArrived));
+    GateHarness failed(int run, boolean mayHaveArrived) {
+        return dispatch(new EndpointEvent.Failed(ATTEMPT, run, mayHaveArrived));
     }
 
-    GateBench pass(long millis) {
+    GateHarness advance(long millis) {
         for (long end = now + millis; now < end; now += 50) {
             gate.tick(now);
         }
@@ -83,30 +83,33 @@
     }
 
     List<String> chunks(long link) {
-        return all(GateOutput.SendChunk.class).stream()
+        return outputsOf(GateOutput.SendChunk.class).stream()
                 .filter(chunk -> chunk.link() == link)
                 .map(chunk -> chunk.sequence() + ":" + new String(chunk.data(), StandardCharsets.UTF_8))
                 .toList();
     }
 
     Optional<AttemptResult> result(long link) {
-        List<AttemptResult> results = all(GateOutput.SendEnd.class).stream()
+        List<AttemptResult> results = outputsOf(GateOutput.SendEnd.class).stream()
                 .filter(end -> end.link() == link)
                 .map(GateOutput.SendEnd::result)
                 .toList();
         return results.isEmpty() ? Optional.empty() : Optional.of(results.get(results.size() - 1));
     }
 
-    /** Code and execution of the last end that a link heard, such as {@code OK RAN}; empty text before any. */
+    /**
+     * Returns code and execution of the last end that was sent to a link, such as {@code OK RAN}; empty text before
+     * any.
+     */
     String outcome(long link) {
         return result(link).map(end -> end.code() + " " + end.execution()).orElse("");
     }
 
-    <T extends GateOutput> List<T> all(Class<T> type) {
+    <T extends GateOutput> List<T> outputsOf(Class<T> type) {
         return outputs.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    private GateBench on(EndpointEvent event) {
+    private GateHarness dispatch(EndpointEvent event) {
         gate.on(event, now);
         return this;
     }
--- a/core/src/test/java/org/quetzalshunt/core/attempt/ModelRolloutTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/ModelRolloutTest.java
@@ -1,7 +1,7 @@
 package org.quetzalshunt.core.attempt;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.quetzalshunt.core.attempt.RolloutBench.model;
+import static org.quetzalshunt.core.attempt.RolloutSimulation.model;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -10,158 +10,158 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 final class ModelRolloutTest {
-    private static final long LONG_ENOUGH_MILLIS = 60_000;
-    private final RolloutBench bench = new RolloutBench();
+    private static final long SETTLE_MILLIS = 60_000;
+    private final RolloutSimulation simulation = new RolloutSimulation();
 
-    // A team puts a new version of its tutor. Pupils ask all the while, so the old version serves until the new one
-    // does; a model that no document names is left alone.
+    // A new version of a model is rolled out while callers use the old one. The old version must serve until the new
+    // one does, and a model that no document names must be left alone.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void newVersionServesBeforeTheOldOneGoes(boolean checksFencing) {
+    void oldVersionIsUnloadedOnlyAfterTheNewOneServes(boolean checksFencing) {
         ModelVersion foreign = new ModelVersion("base", "1");
-        bench.loaded.addAll(List.of(model(1), foreign));
-        desire(bench.startProcess(), 2, checksFencing);
-        bench.pass(LONG_ENOUGH_MILLIS);
-        assertThat(bench.history)
+        simulation.loaded.addAll(List.of(model(1), foreign));
+        desire(simulation.startProcess(), 2, checksFencing);
+        simulation.advance(SETTLE_MILLIS);
+        assertThat(simulation.orderHistory)
                 .containsExactly("load tutor@2", "unload tutor@1")
                 .inOrder();
-        assertThat(bench.loaded).containsExactly(foreign, model(2));
-        assertThat(bench.fewestServing).isEqualTo(2);
+        assertThat(simulation.loaded).containsExactly(foreign, model(2));
+        assertThat(simulation.minimumLoaded).isEqualTo(2);
     }
 
-    // The new version does not load, or the weight store lacks it. The tutor keeps answering with the old one, and
-    // the sidecar stops trying until the team puts another version.
+    // The new version does not load, or the weight store does not have it. The old version must keep serving, and the
+    // sidecar must not retry until the next version of the document.
     @ParameterizedTest
     @CsvSource({"true, 2", "false, 0"})
-    void versionThatDoesNotLoadLeavesTheFormerOne(boolean inTheStore, int orders) {
-        bench.loaded.add(model(1));
-        bench.failsToLoad = model(2)::equals;
-        if (!inTheStore) {
-            bench.weights.put(model(2), new WeightsAnswer.Missing());
+    void versionThatDoesNotLoadIsRolledBack(boolean isInWeightStore, int orders) {
+        simulation.loaded.add(model(1));
+        simulation.failsToLoad = model(2)::equals;
+        if (!isInWeightStore) {
+            simulation.weights.put(model(2), new WeightsAnswer.Missing());
         }
-        ModelRollout rollout = bench.startProcess();
+        ModelRollout rollout = simulation.startProcess();
         desire(rollout, 2, true);
-        bench.pass(LONG_ENOUGH_MILLIS);
-        assertThat(bench.loaded).containsExactly(model(1));
-        assertThat(bench.history).hasSize(orders);
+        simulation.advance(SETTLE_MILLIS);
+        assertThat(simulation.loaded).containsExactly(model(1));
+        assertThat(simulation.orderHistory).hasSize(orders);
         assertThat(rollout.status().rolledBack()).isTrue();
         desire(rollout, 3, true);
-        bench.pass(LONG_ENOUGH_MILLIS);
-        assertThat(bench.loaded).containsExactly(model(3));
+        simulation.advance(SETTLE_MILLIS);
+        assertThat(simulation.loaded).containsExactly(model(3));
     }
 
-    // Of two models of a new version the second does not load. The first is taken back out, so that the engine serves
-    // the former version as a whole.
+    // The second of two models of a new version does not load. The first one must be unloaded again, so that the engine
+    // serves the previous version as a whole.
     @Test
-    void halfLoadedVersionIsTakenBack() {
+    void partlyLoadedVersionIsRolledBack() {
         ModelVersion adapter = new ModelVersion("adapter", "2");
-        bench.loaded.add(model(1));
-        bench.failsToLoad = adapter::equals;
-        bench.startProcess().desire(2, List.of(model(2), adapter), true, 0, bench.now);
-        bench.pass(LONG_ENOUGH_MILLIS);
-        assertThat(bench.loaded).containsExactly(model(1));
+        simulation.loaded.add(model(1));
+        simulation.failsToLoad = adapter::equals;
+        simulation.startProcess().desire(2, List.of(model(2), adapter), true, 0, simulation.now);
+        simulation.advance(SETTLE_MILLIS);
+        assertThat(simulation.loaded).containsExactly(model(1));
     }
 
-    // All engines of a fleet want a new version at once, and the weight store turns most of them away. It is asked
-    // again when it said, and not before; nothing counts as a failure of the version.
+    // All engines of a fleet request a new version at once, and the weight store defers most of them. It must be asked
+    // again after the given delay and not earlier, and the deferral must not count as a failure of the version.
     @Test
-    void weightStoreOverItsRateIsAskedLater() {
-        bench.loaded.add(model(1));
-        bench.weights.put(model(2), new WeightsAnswer.Later(20_000));
-        ModelRollout rollout = bench.startProcess();
+    void rateLimitOfTheWeightStoreIsNotALoadFailure() {
+        simulation.loaded.add(model(1));
+        simulation.weights.put(model(2), new WeightsAnswer.Later(20_000));
+        ModelRollout rollout = simulation.startProcess();
         desire(rollout, 2, true);
-        bench.pass(19_000);
-        bench.weights.clear();
-        assertThat(bench.history).isEmpty();
-        bench.pass(LONG_ENOUGH_MILLIS);
-        assertThat(bench.loaded).containsExactly(model(2));
+        simulation.advance(19_000);
+        simulation.weights.clear();
+        assertThat(simulation.orderHistory).isEmpty();
+        simulation.advance(SETTLE_MILLIS);
+        assertThat(simulation.loaded).containsExactly(model(2));
         assertThat(rollout.status().rolledBack()).isFalse();
     }
 
-    // The engine takes an order up and its answer is lost. A second order at once could run beside the first; the
-    // effect shows, and the rollout goes on from there.
+    // The engine accepts an order and its response is lost. A second order could run concurrently with the first, so
+    // the rollout must continue only when the effect of the first one is visible.
     @Test
-    void orderWhoseAnswerWasLostIsNotRepeatedWhileItMayRun() {
-        bench.loaded.add(model(1));
-        bench.losesAnswers = true;
-        desire(bench.startProcess(), 2, true);
-        bench.pass(LONG_ENOUGH_MILLIS);
-        assertThat(bench.history)
+    void orderWithLostResponseIsNotRepeatedWhileItMayRun() {
+        simulation.loaded.add(model(1));
+        simulation.losesOrderResponses = true;
+        desire(simulation.startProcess(), 2, true);
+        simulation.advance(SETTLE_MILLIS);
+        assertThat(simulation.orderHistory)
                 .containsExactly("load tutor@2", "unload tutor@1")
                 .inOrder();
     }
 
-    // A sidecar restarts while the order of its former process is under way at an engine that ignores fencing. The
-    // new process does not add its own: it waits until the models stand still, and finds nothing left to do.
+    // A sidecar restarts while an order of its former process is in progress at an engine that ignores fencing. The new
+    // process must wait until the loaded models no longer change, and must not repeat the order.
     @Test
-    void formerProcessesOrderIsWaitedOut() {
-        bench.loaded.add(model(1));
-        ModelRollout former = bench.startProcess();
+    void orderOfAFormerProcessIsAwaited() {
+        simulation.loaded.add(model(1));
+        ModelRollout former = simulation.startProcess();
         desire(former, 2, false);
-        bench.pass(ModelRollout.FORMER_ORDER_MILLIS + 500);
-        assertThat(bench.history).containsExactly("load tutor@2");
-        bench.pause(former);
-        desire(bench.startProcess(), 2, false);
-        bench.pass(LONG_ENOUGH_MILLIS);
-        assertThat(bench.history)
+        simulation.advance(ModelRollout.QUIET_PERIOD_MILLIS + 500);
+        assertThat(simulation.orderHistory).containsExactly("load tutor@2");
+        simulation.pause(former);
+        desire(simulation.startProcess(), 2, false);
+        simulation.advance(SETTLE_MILLIS);
+        assertThat(simulation.orderHistory)
                 .containsExactly("load tutor@2", "unload tutor@1")
                 .inOrder();
     }
 
-    // Two processes of one sidecar give orders: the old one was paused with an old document and wakes up after the
-    // new one is done. An engine that checks fencing refuses it. At one that does not, its orders take effect, and
-    // the new process puts things right again as soon as the old one has read the new document.
+    // A process of a sidecar is paused with an old document and resumes after a newer process has finished. An engine
+    // that checks fencing refuses its orders. At one that does not, its orders take effect, and the newer process must
+    // undo them as soon as the old process has read the new document.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void racingProcessesEndAtTheNewestDocument(boolean checksFencing) {
-        bench.checksFencing = checksFencing;
-        bench.loaded.add(model(1));
-        ModelRollout old = bench.startProcess();
+    void concurrentProcessesConvergeToTheNewestDocument(boolean checksFencing) {
+        simulation.checksFencing = checksFencing;
+        simulation.loaded.add(model(1));
+        ModelRollout old = simulation.startProcess();
         desire(old, 2, checksFencing);
-        bench.pass(LONG_ENOUGH_MILLIS);
-        bench.pause(old);
-        desire(bench.startProcess(), 3, checksFencing);
-        bench.pass(LONG_ENOUGH_MILLIS);
-        bench.wake(old);
-        bench.pass(LONG_ENOUGH_MILLIS);
+        simulation.advance(SETTLE_MILLIS);
+        simulation.pause(old);
+        desire(simulation.startProcess(), 3, checksFencing);
+        simulation.advance(SETTLE_MILLIS);
+        simulation.resume(old);
+        simulation.advance(SETTLE_MILLIS);
         if (checksFencing) {
-            assertThat(bench.loaded).containsExactly(model(3));
+            assertThat(simulation.loaded).containsExactly(model(3));
         }
         desire(old, 3, checksFencing);
-        bench.pass(LONG_ENOUGH_MILLIS);
-        assertThat(bench.loaded).containsExactly(model(3));
-        assertThat(bench.fewestServing).isAtLeast(1);
+        simulation.advance(SETTLE_MILLIS);
+        assertThat(simulation.loaded).containsExactly(model(3));
+        assertThat(simulation.minimumLoaded).isAtLeast(1);
     }
 
-    // An operator's document is rolled out in steps, so that a bad version meets few engines first; an engine that
-    // serves nothing yet has nothing to lose and does not wait for its step.
+    // A rollout is staggered, so that a faulty version reaches few engines first. An engine that serves no model yet
+    // must load without waiting for its step.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void stepIsWaitedForOnlyWhereSomethingServes(boolean serves) {
+    void stepDelayAppliesOnlyIfTheEngineServesAModel(boolean serves) {
         if (serves) {
-            bench.loaded.add(model(1));
+            simulation.loaded.add(model(1));
         }
-        bench.startProcess().desire(2, List.of(model(2)), true, 20_000, bench.now);
-        bench.pass(10_000);
-        assertThat(bench.loaded.contains(model(2))).isEqualTo(!serves);
-        bench.pass(LONG_ENOUGH_MILLIS);
-        assertThat(bench.loaded).containsExactly(model(2));
+        simulation.startProcess().desire(2, List.of(model(2)), true, 20_000, simulation.now);
+        simulation.advance(10_000);
+        assertThat(simulation.loaded.contains(model(2))).isEqualTo(!serves);
+        simulation.advance(SETTLE_MILLIS);
+        assertThat(simulation.loaded).containsExactly(model(2));
     }
 
-    // Configuration arrives twice or late, by way of another entry. An older version changes nothing, and a document
-    // that names no models takes none away.
+    // Documents may arrive twice or late by way of another entry process. An older version must change nothing, and a
+    // document that names no models must unload none.
     @Test
-    void olderDocumentAndEmptyListChangeNothing() {
-        bench.loaded.add(model(3));
-        ModelRollout rollout = bench.startProcess();
+    void olderDocumentAndEmptyListAreIgnored() {
+        simulation.loaded.add(model(3));
+        ModelRollout rollout = simulation.startProcess();
         desire(rollout, 3, true);
         desire(rollout, 2, true);
-        rollout.desire(4, List.of(), true, 0, bench.now);
-        bench.pass(LONG_ENOUGH_MILLIS);
-        assertThat(bench.history).isEmpty();
+        rollout.desire(4, List.of(), true, 0, simulation.now);
+        simulation.advance(SETTLE_MILLIS);
+        assertThat(simulation.orderHistory).isEmpty();
     }
 
     private void desire(ModelRollout rollout, int version, boolean checksFencing) {
-        rollout.desire(version, List.of(model(version)), checksFencing, 0, bench.now);
+        rollout.desire(version, List.of(model(version)), checksFencing, 0, simulation.now);
     }
 }
