--- a/core/src/main/java/org/quetzalshunt/core/budget/ProgramAllotment.java
+++ b/core/src/main/java/org/quetzalshunt/core/budget/ProgramAllotment.java
@@ -18,7 +18,7 @@
  */
 public final class ProgramAllotment {
     /** Tokens transferred from one VM to another, and the time at which they expire, in Unix milliseconds. */
-    public record Transfer(long tokens, long untilMillis) {
+    public record Transfer(long tokens, long expiresMillis) {
         /** No tokens. */
         public static final Transfer NONE = new Transfer(0, 0);
     }
@@ -117,12 +117,12 @@
     }
 
     /** Reserves the maximum tokens of a turn that starts. */
-    public void started(long maximumTokens) {
+    public void reserve(long maximumTokens) {
         available -= maximumTokens;
     }
 
     /** Releases the tokens that a turn had reserved and did not generate. */
-    public void ended(long maximumTokens, long generatedTokens) {
+    public void release(long maximumTokens, long generatedTokens) {
         available += Math.max(0, maximumTokens - generatedTokens);
     }
 
@@ -130,7 +130,7 @@
      * Discards received tokens that expire before a given time. Tokens of this VM's own record are kept, since a
      * renewal of the record extends them.
      */
-    public void expire(long untilMillis) {
+    public void discardReceivedBefore(long untilMillis) {
         if (includesReceived && availableUntilMillis < untilMillis) {
             available = 0;
             includesReceived = false;
@@ -143,7 +143,7 @@
      * @param budget tokens that all turns of the program together may generate
      * @param maximumTokens tokens that the turn may generate
      */
-    public OptionalLong wanted(long budget, long maximumTokens) {
+    public OptionalLong nextAllotment(long budget, long maximumTokens) {
         if (remaining(budget) < 0) {
             return OptionalLong.empty();
         }
@@ -169,19 +169,19 @@
     }
 
     /** Removes all unreserved tokens for transfer to another VM; a transfer of no tokens if there are none. */
-    public Transfer giveOn() {
+    public Transfer takeUnspent() {
         Transfer transfer = new Transfer(Math.max(0, available), availableUntilMillis);
         available -= transfer.tokens();
         return transfer;
     }
 
     /** Adds tokens transferred from another VM. */
-    public void received(Transfer transfer) {
+    public void addTransferred(Transfer transfer) {
         if (transfer.tokens() <= 0) {
             return;
         }
         availableUntilMillis =
-                available > 0 ? Math.min(availableUntilMillis, transfer.untilMillis()) : transfer.untilMillis();
+                available > 0 ? Math.min(availableUntilMillis, transfer.expiresMillis()) : transfer.expiresMillis();
         available += transfer.tokens();
         includesReceived = true;
     }
--- a/core/src/test/java/org/quetzalshunt/core/budget/ProgramAllotmentTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/budget/ProgramAllotmentTest.java
@@ -29,7 +29,7 @@
         for (int vm = 0; vm < 9; vm++) {
             ProgramAllotment allotment = ProgramAllotment.unknown(!TRANSFERABLE);
             allotment.read(others, 0, EXPIRES_MILLIS);
-            OptionalLong wanted = allotment.wanted(9 * MAXIMUM_TOKENS, MAXIMUM_TOKENS);
+            OptionalLong wanted = allotment.nextAllotment(9 * MAXIMUM_TOKENS, MAXIMUM_TOKENS);
             assertWithMessage("turn " + vm).that(wanted).isEqualTo(OptionalLong.of(MAXIMUM_TOKENS));
             others += wanted.getAsLong();
         }
@@ -47,18 +47,19 @@
         ProgramAllotment.Transfer transfer = new ProgramAllotment.Transfer(0, 0);
         for (int vm = 0; vm < 9; vm++) {
             ProgramAllotment allotment = ProgramAllotment.unknown(TRANSFERABLE);
-            allotment.received(transfer);
+            allotment.addTransferred(transfer);
             if (!allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS)) {
                 allotment.read(others, 0, EXPIRES_MILLIS);
-                long wanted =
-                        allotment.wanted(9 * MAXIMUM_TOKENS, MAXIMUM_TOKENS).getAsLong();
+                long wanted = allotment
+                        .nextAllotment(9 * MAXIMUM_TOKENS, MAXIMUM_TOKENS)
+                        .getAsLong();
                 allotment.granted(wanted, EXPIRES_MILLIS);
                 others += wanted;
                 raises++;
             }
-            allotment.started(MAXIMUM_TOKENS);
-            allotment.ended(MAXIMUM_TOKENS, MAXIMUM_TOKENS / 4);
-            transfer = allotment.giveOn();
+            allotment.reserve(MAXIMUM_TOKENS);
+            allotment.release(MAXIMUM_TOKENS, MAXIMUM_TOKENS / 4);
+            transfer = allotment.takeUnspent();
         }
         assertThat(raises).isAtMost(2);
         assertThat(others).isAtMost(9 * MAXIMUM_TOKENS);
@@ -68,13 +69,14 @@
     @Test
     void receivedTokensExpireWithTheirRecord() {
         ProgramAllotment allotment = ProgramAllotment.unknown(TRANSFERABLE);
-        allotment.received(new ProgramAllotment.Transfer(MAXIMUM_TOKENS, EXPIRES_MILLIS - 1));
+        allotment.addTransferred(new ProgramAllotment.Transfer(MAXIMUM_TOKENS, EXPIRES_MILLIS - 1));
         assertThat(allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS - 1)).isTrue();
         assertThat(allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS)).isFalse();
 
         allotment.read(MAXIMUM_TOKENS, 0, EXPIRES_MILLIS);
-        allotment.expire(EXPIRES_MILLIS);
-        allotment.granted(allotment.wanted(3 * MAXIMUM_TOKENS, MAXIMUM_TOKENS).getAsLong(), EXPIRES_MILLIS);
+        allotment.discardReceivedBefore(EXPIRES_MILLIS);
+        allotment.granted(
+                allotment.nextAllotment(3 * MAXIMUM_TOKENS, MAXIMUM_TOKENS).getAsLong(), EXPIRES_MILLIS);
         assertThat(allotment.allotted()).isEqualTo(MAXIMUM_TOKENS);
         assertThat(allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS)).isTrue();
     }
@@ -86,8 +88,9 @@
         allotment.granted(2 * MAXIMUM_TOKENS, EXPIRES_MILLIS);
         assertThat(allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS + 1)).isFalse();
 
-        allotment.expire(EXPIRES_MILLIS + 1);
-        allotment.granted(allotment.wanted(3 * MAXIMUM_TOKENS, MAXIMUM_TOKENS).getAsLong(), EXPIRES_MILLIS + 1);
+        allotment.discardReceivedBefore(EXPIRES_MILLIS + 1);
+        allotment.granted(
+                allotment.nextAllotment(3 * MAXIMUM_TOKENS, MAXIMUM_TOKENS).getAsLong(), EXPIRES_MILLIS + 1);
         assertThat(allotment.allotted()).isEqualTo(2 * MAXIMUM_TOKENS);
         assertThat(allotment.covers(2 * MAXIMUM_TOKENS, EXPIRES_MILLIS + 1)).isTrue();
     }
@@ -97,9 +100,9 @@
     @CsvSource({"4000, 0, true", "4001, 0, false", "4001, 280, true"})
     void exhaustionReportedByAnotherVmIsApplied(long totalAllotted, long received, boolean canStart) {
         ProgramAllotment allotment = ProgramAllotment.unknown(TRANSFERABLE);
-        allotment.received(new ProgramAllotment.Transfer(received, EXPIRES_MILLIS));
+        allotment.addTransferred(new ProgramAllotment.Transfer(received, EXPIRES_MILLIS));
         allotment.allottedAtLeast(totalAllotted);
-        boolean raised = allotment.wanted(4_000, MAXIMUM_TOKENS).isPresent();
+        boolean raised = allotment.nextAllotment(4_000, MAXIMUM_TOKENS).isPresent();
         assertThat(allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS) || raised).isEqualTo(canStart);
     }
 
@@ -108,10 +111,10 @@
         ProgramAllotment allotment = ProgramAllotment.unknown(!TRANSFERABLE);
         allotment.read(0, 0, EXPIRES_MILLIS);
         allotment.granted(MAXIMUM_TOKENS, EXPIRES_MILLIS);
-        allotment.started(MAXIMUM_TOKENS);
-        allotment.ended(MAXIMUM_TOKENS, 70);
+        allotment.reserve(MAXIMUM_TOKENS);
+        allotment.release(MAXIMUM_TOKENS, 70);
         assertThat(allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS)).isFalse();
-        assertThat(allotment.wanted(1_400, MAXIMUM_TOKENS)).isEqualTo(OptionalLong.of(70 + MAXIMUM_TOKENS));
+        assertThat(allotment.nextAllotment(1_400, MAXIMUM_TOKENS)).isEqualTo(OptionalLong.of(70 + MAXIMUM_TOKENS));
     }
 
     @Test
@@ -120,9 +123,9 @@
         allotment.read(0, 0, EXPIRES_MILLIS);
         for (int turn = 0; turn < 2; turn++) {
             allotment.granted(
-                    allotment.wanted(20 * MAXIMUM_TOKENS, MAXIMUM_TOKENS).getAsLong(), EXPIRES_MILLIS);
-            allotment.started(MAXIMUM_TOKENS);
-            allotment.ended(MAXIMUM_TOKENS, MAXIMUM_TOKENS);
+                    allotment.nextAllotment(20 * MAXIMUM_TOKENS, MAXIMUM_TOKENS).getAsLong(), EXPIRES_MILLIS);
+            allotment.reserve(MAXIMUM_TOKENS);
+            allotment.release(MAXIMUM_TOKENS, MAXIMUM_TOKENS);
         }
         assertThat(allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS)).isTrue();
     }
@@ -140,7 +143,7 @@
     void exhaustedBudgetIsRefused() {
         ProgramAllotment allotment = ProgramAllotment.unknown(!TRANSFERABLE);
         allotment.read(4_001, 0, EXPIRES_MILLIS);
-        assertThat(allotment.wanted(4_000, MAXIMUM_TOKENS)).isEqualTo(OptionalLong.empty());
+        assertThat(allotment.nextAllotment(4_000, MAXIMUM_TOKENS)).isEqualTo(OptionalLong.empty());
     }
 
     /**
@@ -178,9 +181,9 @@
             int vm = random.nextInt(3);
             ProgramAllotment allotment = vms.get(vm);
             if (transferable && random.nextInt(3) == 0) {
-                ProgramAllotment.Transfer transfer = allotment.giveOn();
+                ProgramAllotment.Transfer transfer = allotment.takeUnspent();
                 if (random.nextInt(4) > 0) {
-                    vms.get(random.nextInt(3)).received(transfer);
+                    vms.get(random.nextInt(3)).addTransferred(transfer);
                 }
             }
             switch (random.nextInt(4)) {
@@ -192,13 +195,13 @@
                                 .mapToLong(Map.Entry::getValue)
                                 .sum();
                         allotment.read(others, map.getOrDefault(own, 0L), EXPIRES_MILLIS);
-                        allotment.wanted(budget, MAXIMUM_TOKENS).ifPresent(tokens -> {
+                        allotment.nextAllotment(budget, MAXIMUM_TOKENS).ifPresent(tokens -> {
                             map.put(own, tokens);
                             allotment.granted(tokens, EXPIRES_MILLIS);
                         });
                     }
                     if (allotment.covers(MAXIMUM_TOKENS, EXPIRES_MILLIS)) {
-                        allotment.started(MAXIMUM_TOKENS);
+                        allotment.reserve(MAXIMUM_TOKENS);
                         runningTurns.set(vm, runningTurns.get(vm) + 1);
                     }
                 }
@@ -206,7 +209,7 @@
                     if (runningTurns.get(vm) > 0) {
                         long tokens = random.nextInt((int) MAXIMUM_TOKENS + 1);
                         generatedTokens += tokens;
-                        allotment.ended(MAXIMUM_TOKENS, tokens);
+                        allotment.release(MAXIMUM_TOKENS, tokens);
                         runningTurns.set(vm, runningTurns.get(vm) - 1);
                     }
                 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/BudgetManager.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/BudgetManager.java
@@ -140,12 +140,12 @@
     /** Removes this VM's unspent tokens of a program, for transfer to another VM. */
     ProgramAllotment.Transfer takeUnspent(String program) {
         ProgramState state = programs.get(program);
-        return state == null ? ProgramAllotment.Transfer.NONE : state.allotment.giveOn();
+        return state == null ? ProgramAllotment.Transfer.NONE : state.allotment.takeUnspent();
     }
 
     /** Adds tokens of a program that another VM transferred. */
     void addTransferred(String program, ProgramAllotment.Transfer transfer) {
-        stateOf(program).allotment.received(transfer);
+        stateOf(program).allotment.addTransferred(transfer);
     }
 
     /** Records the total allotment of a program whose budget another VM found exhausted. */
@@ -181,7 +181,7 @@
         if (state == null || !state.allotment.known() || state.allotment.covers(maximumTokens, clock.wallMillis())) {
             return Optional.empty();
         }
-        if (state.allotment.wanted(budget, maximumTokens).isPresent()) {
+        if (state.allotment.nextAllotment(budget, maximumTokens).isPresent()) {
             return Optional.empty();
         }
         return Optional.of(new Verdict.Exhausted(state.allotment.allotted(), state.allotment.others()));
@@ -202,7 +202,7 @@
             Consumer<Verdict> listener) {
         ProgramState state = stateOf(program);
         if (state.allotment.covers(maximumTokens, clock.wallMillis() + recordRetentionMillis)) {
-            state.allotment.started(maximumTokens);
+            state.allotment.reserve(maximumTokens);
             listener.accept(new Verdict.Granted());
             return;
         }
@@ -235,7 +235,7 @@
     void release(String program, long maximumTokens, long handedOut) {
         ProgramState state = programs.get(program);
         if (state != null) {
-            state.allotment.ended(maximumTokens, handedOut);
+            state.allotment.release(maximumTokens, handedOut);
         }
     }
 
@@ -261,7 +261,7 @@
         ProgramState state = stateOf(pending.program());
         long neededUntilMillis = clock.wallMillis() + pending.recordRetentionMillis();
         if (state.allotment.covers(pending.maximumTokens(), neededUntilMillis)) {
-            state.allotment.started(pending.maximumTokens());
+            state.allotment.reserve(pending.maximumTokens());
             complete(shard, pending, new Verdict.Granted());
             return;
         }
@@ -273,8 +273,8 @@
             readAllotments(key, shard, pending, state);
             return;
         }
-        state.allotment.expire(neededUntilMillis);
-        OptionalLong newAllotment = state.allotment.wanted(pending.budget(), pending.maximumTokens());
+        state.allotment.discardReceivedBefore(neededUntilMillis);
+        OptionalLong newAllotment = state.allotment.nextAllotment(pending.budget(), pending.maximumTokens());
         if (newAllotment.isEmpty()) {
             onExhausted.onExhausted(pending.program(), state.allotment.allotted() + state.allotment.others());
             complete(shard, pending, new Verdict.Exhausted(state.allotment.allotted(), state.allotment.others()));
--- a/server/src/main/java/org/quetzalshunt/server/gateway/ChainExchange.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/ChainExchange.java
@@ -163,7 +163,7 @@
         links.send(
                 request.getRequester(),
                 Message.chainAnswer(new ChainAnswer(
-                        request.getId(), request.getProgram(), turns, transfer.tokens(), transfer.untilMillis())));
+                        request.getId(), request.getProgram(), turns, transfer.tokens(), transfer.expiresMillis())));
     }
 
     /**
