--- a/core/src/main/java/org/quetzalshunt/core/policy/Policy.java
+++ b/core/src/main/java/org/quetzalshunt/core/policy/Policy.java
@@ -13,7 +13,7 @@
     }
 
     /** A policy with all mechanisms enabled. */
-    public static Policy whole() {
+    public static Policy allEnabled() {
         return new Policy(EnumSet.allOf(Mechanism.class));
     }
 
@@ -25,7 +25,7 @@
     }
 
     /** Whether a mechanism is enabled. */
-    public boolean has(Mechanism mechanism) {
+    public boolean isEnabled(Mechanism mechanism) {
         return enabled.contains(mechanism);
     }
 
--- a/core/src/main/java/org/quetzalshunt/core/routing/EndpointCost.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EndpointCost.java
@@ -53,7 +53,7 @@
         if (!row.registration.dataCentre().equals(dataCentre)) {
             cost += CROSS_DATA_CENTRE_COST_MILLIS;
         }
-        if (policy.has(Mechanism.PREFILL_BACKLOG)) {
+        if (policy.isEnabled(Mechanism.PREFILL_BACKLOG)) {
             cost += speed.prefillMillis(row.prefillBacklogTokens + row.peersPrefillBacklogTokens);
         }
         // Prefill stalls the whole batch of the engine, so every running request is delayed by it.
@@ -67,7 +67,7 @@
 
     private double requestMillis(EndpointRow row, EngineSpeed speed, int load) {
         int slots = Math.max(1, row.registration.slots());
-        double unloadedMillis = policy.has(Mechanism.TOKEN_RATE) && row.hasTokenTime()
+        double unloadedMillis = policy.isEnabled(Mechanism.TOKEN_RATE) && row.hasTokenTime()
                 ? row.millisPerToken() * speed.tokensPerAnswer()
                 : row.latencyMillis;
         double cost = unloadedMillis * (1 + SLOWDOWN_PER_REQUEST * Math.min(load, slots));
--- a/core/src/main/java/org/quetzalshunt/core/routing/EndpointSelector.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EndpointSelector.java
@@ -46,8 +46,8 @@
 
     private Optional<PrefixPlacement.Assignment> assignment(
             long nowMillis, List<EndpointRow> open, RoutingRequest request) {
-        boolean usesPlacement = policy.has(Mechanism.PREFIX_AFFINITY)
-                && policy.has(Mechanism.PREFIX_PLACEMENT)
+        boolean usesPlacement = policy.isEnabled(Mechanism.PREFIX_AFFINITY)
+                && policy.isEnabled(Mechanism.PREFIX_PLACEMENT)
                 && !request.prompt().isEmpty();
         return usesPlacement ? placement.assign(nowMillis, open, request.prompt()) : Optional.empty();
     }
@@ -64,7 +64,7 @@
                 .filter(row -> row.coldStart.admits(nowMillis, request.limits().coldRequestsPerSecond()))
                 .filter(row -> !request.excluded().contains(row.registration.id()))
                 .toList();
-        if (!policy.has(Mechanism.TWO_CHOICES)) {
+        if (!policy.isEnabled(Mechanism.TWO_CHOICES)) {
             return usable;
         }
         List<EndpointRow> healthy =
@@ -81,7 +81,7 @@
 
     private boolean hasAffinity(
             EndpointRow row, Optional<PrefixPlacement.Assignment> assignment, List<PrefixPart> prompt) {
-        if (prompt.isEmpty() || !policy.has(Mechanism.PREFIX_AFFINITY)) {
+        if (prompt.isEmpty() || !policy.isEnabled(Mechanism.PREFIX_AFFINITY)) {
             return false;
         }
         boolean assignedHere = assignment
@@ -91,10 +91,10 @@
     }
 
     private long uncachedTokens(long nowMillis, EndpointRow row, List<PrefixPart> prompt) {
-        if (!policy.has(Mechanism.PREFIX_AFFINITY)) {
+        if (!policy.isEnabled(Mechanism.PREFIX_AFFINITY)) {
             return 0;
         }
-        return policy.has(Mechanism.PREFIX_PLACEMENT)
+        return policy.isEnabled(Mechanism.PREFIX_PLACEMENT)
                 ? placement.uncachedTokens(nowMillis, row, prompt)
                 : row.prefixCache.uncachedTokens(prompt);
     }
--- a/core/src/main/java/org/quetzalshunt/core/routing/EndpointTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EndpointTable.java
@@ -149,7 +149,7 @@
     public List<PrefixLocation> takeNewLocations() {
         List<PrefixLocation> locations = List.copyOf(newLocations);
         newLocations.clear();
-        return policy.has(Mechanism.SHARED_PREFIX_LOCATIONS) ? locations : List.of();
+        return policy.isEnabled(Mechanism.SHARED_PREFIX_LOCATIONS) ? locations : List.of();
     }
 
     /** Records the prefix locations that a peer reported. */
--- a/core/src/test/java/org/quetzalshunt/core/policy/PolicyTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/policy/PolicyTest.java
@@ -17,8 +17,8 @@
         Policy policy = Policy.without(List.of(named));
 
         for (Mechanism each : Mechanism.values()) {
-            assertThat(policy.has(each)).isEqualTo(each != mechanism);
-            assertThat(Policy.whole().has(each)).isTrue();
+            assertThat(policy.isEnabled(each)).isEqualTo(each != mechanism);
+            assertThat(Policy.allEnabled().isEnabled(each)).isTrue();
         }
     }
 
--- a/core/src/test/java/org/quetzalshunt/core/routing/ColdStartTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/ColdStartTest.java
@@ -44,7 +44,7 @@
         List<EndpointTable> tables = new ArrayList<>();
         Map<Integer, Long> learntMillis = new HashMap<>();
         for (int vm = 0; vm < vms; vm++) {
-            tables.add(EndpointTable.create("a", 1_000 + vm, Policy.whole()));
+            tables.add(EndpointTable.create("a", 1_000 + vm, Policy.allEnabled()));
             learntMillis.put(vm, (long) random.nextInt(700));
         }
         Map<String, ArrayDeque<Long>> sent = new HashMap<>();
@@ -93,7 +93,7 @@
 
     @Test
     void coldEndpointIsRateLimitedEvenIfNoOtherIsLeft() {
-        EndpointTable table = EndpointTable.create("a", 1, Policy.whole());
+        EndpointTable table = EndpointTable.create("a", 1, Policy.allEnabled());
         table.registered(0, registration("cold", COLD_MILLIS));
         int served = 0;
         for (long now = 0; now < COLD_MILLIS; now += 10) {
@@ -106,7 +106,7 @@
 
     @Test
     void warmEndpointIsNotLimited() {
-        EndpointTable table = EndpointTable.create("a", 1, Policy.whole());
+        EndpointTable table = EndpointTable.create("a", 1, Policy.allEnabled());
         table.registered(0, registration("e", COLD_MILLIS));
         table.registered(100, registration("e", 0));
         for (int request = 0; request < 50; request++) {
@@ -118,7 +118,7 @@
     /** Guards against a token bucket that is refilled by each heartbeat of an endpoint that is still cold. */
     @Test
     void heartbeatsOfAColdEndpointAddNoTokens() {
-        EndpointTable table = EndpointTable.create("a", 1, Policy.whole());
+        EndpointTable table = EndpointTable.create("a", 1, Policy.allEnabled());
         int served = 0;
         for (long now = 0; now < 2_000; now += 10) {
             table.registered(now, registration("e", COLD_MILLIS - now));
--- a/core/src/test/java/org/quetzalshunt/core/routing/EngineShapesTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/EngineShapesTest.java
@@ -50,7 +50,7 @@
         long wholeTokensRead = 0;
         long plainTokensRead = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            EngineSimulation.Result wholeResult = EngineSimulation.simulate(shape, Policy.whole(), seed);
+            EngineSimulation.Result wholeResult = EngineSimulation.simulate(shape, Policy.allEnabled(), seed);
             EngineSimulation.Result plainResult = EngineSimulation.simulate(shape, plain, seed);
             wholeMillis += wholeResult.meanTurnMillis();
             plainMillis += plainResult.meanTurnMillis();
--- a/core/src/test/java/org/quetzalshunt/core/routing/EvacuationTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/EvacuationTest.java
@@ -19,7 +19,7 @@
     private static final int PER_DATA_CENTRE = 3;
     private static final int REQUESTS = 200;
 
-    private final EndpointTable table = EndpointTable.create("a", 7, Policy.whole());
+    private final EndpointTable table = EndpointTable.create("a", 7, Policy.allEnabled());
 
     @BeforeEach
     void register() {
--- a/core/src/test/java/org/quetzalshunt/core/routing/HerdingTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/HerdingTest.java
@@ -36,7 +36,7 @@
     void gatewaysDoNotHerdToTheEndpointThatLooksBest(
             int engines, double programsPerSecond, int gateways, long reportMillis, int dataCentres) {
         EngineSimulation.Shape shape = shape(engines, programsPerSecond, gateways, reportMillis, dataCentres);
-        assertThat(meanTurnMillis(shape, Policy.whole())).isAtMost(0.95 * meanTurnMillis(shape, BEST_OF_ALL));
+        assertThat(meanTurnMillis(shape, Policy.allEnabled())).isAtMost(0.95 * meanTurnMillis(shape, BEST_OF_ALL));
     }
 
     @ParameterizedTest
@@ -44,6 +44,6 @@
     void samplingCostsLittleWithFewGateways(
             int engines, double programsPerSecond, int gateways, long reportMillis, int dataCentres) {
         EngineSimulation.Shape shape = shape(engines, programsPerSecond, gateways, reportMillis, dataCentres);
-        assertThat(meanTurnMillis(shape, Policy.whole())).isAtMost(1.05 * meanTurnMillis(shape, BEST_OF_ALL));
+        assertThat(meanTurnMillis(shape, Policy.allEnabled())).isAtMost(1.05 * meanTurnMillis(shape, BEST_OF_ALL));
     }
 }
--- a/core/src/test/java/org/quetzalshunt/core/routing/PrefixLocationsTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/PrefixLocationsTest.java
@@ -24,8 +24,8 @@
     private static final long MEMORY_TOKENS = 1_000_000;
     private static final PrefixPart COMMON = new PrefixPart("common", 12_600);
 
-    private final EndpointTable first = table(1, Policy.whole());
-    private final EndpointTable second = table(2, Policy.whole());
+    private final EndpointTable first = table(1, Policy.allEnabled());
+    private final EndpointTable second = table(2, Policy.allEnabled());
 
     private static EndpointTable table(long seed, Policy policy) {
         EndpointTable table = EndpointTable.create("a", seed, policy);
@@ -121,7 +121,7 @@
     void simultaneousStartPrefillsACommonPartAtOneEndpoint() {
         Set<String> prefilledAt = new HashSet<>();
         for (int vm = 0; vm < 8; vm++) {
-            prefilledAt.add(send(table(vm, Policy.whole()), turn("line-" + vm, 1_000)));
+            prefilledAt.add(send(table(vm, Policy.allEnabled()), turn("line-" + vm, 1_000)));
         }
         assertThat(prefilledAt).hasSize(1);
     }
@@ -132,7 +132,7 @@
      */
     @Test
     void conversationsReturnToTheirEnginesAfterAllVmsRestart() {
-        EndpointTable restarted = table(1_000_000, Policy.whole());
+        EndpointTable restarted = table(1_000_000, Policy.allEnabled());
         for (int number = 0; number < ENGINES; number++) {
             RoutingRequest warmUp = routingRequest(List.of(COMMON));
             first.prompted("e" + number, warmUp, 0);
@@ -182,7 +182,7 @@
         send(first, turn("line", 1_000));
         assertThat(first.mayCache(0, "llm", turn("line", 2_000).prompt())).isTrue();
         assertThat(first.mayCache(0, "llm", turn("other", 2_000).prompt())).isFalse();
-        assertThat(table(1_000_000, Policy.whole())
+        assertThat(table(1_000_000, Policy.allEnabled())
                         .mayCache(0, "llm", turn("line", 2_000).prompt()))
                 .isTrue();
     }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
@@ -122,7 +122,7 @@
      */
     private boolean awaitRecovery(ReceivedRequest received, BooleanSupplier ready) {
         long until = received.arrivedMillis() + OutageWaitPolicy.maximumWaitMillis(received.callerTimeoutMillis());
-        boolean worthWaiting = gateway.settings().policy().has(Mechanism.OUTAGE_WAIT)
+        boolean worthWaiting = gateway.settings().policy().isEnabled(Mechanism.OUTAGE_WAIT)
                 && !stopping.getAsBoolean()
                 && !gateway.isolatedFromStore()
                 && gateway.clock().now() < until;
@@ -197,10 +197,10 @@
 
     private void takeRateToken(ReceivedRequest received, AdmittedRequest admitted, AccountTerms account) {
         long left = admitted.deadlineMillis() - gateway.clock().now();
-        boolean urgent = gateway.settings().policy().has(Mechanism.URGENT_STARTS)
+        boolean urgent = gateway.settings().policy().isEnabled(Mechanism.URGENT_STARTS)
                 && admitted.route().priority() == HIGHEST_PRIORITY;
         boolean startsWithoutWait =
-                gateway.settings().policy().has(Mechanism.STARTS_WITHOUT_WAIT) && admitted.beginsProgram();
+                gateway.settings().policy().isEnabled(Mechanism.STARTS_WITHOUT_WAIT) && admitted.beginsProgram();
         long maximumWait = startsWithoutWait
                 ? QuotaWaitPolicy.START_WAIT_MILLIS
                 : QuotaWaitPolicy.maximumWaitMillis(admitted.beginsProgram(), urgent, left);
@@ -264,7 +264,7 @@
 
     private void refuseOverQuota(AdmittedRequest admitted, AccountTerms account, long shortestMillis) {
         boolean delayedStart =
-                gateway.settings().policy().has(Mechanism.PROGRAM_START_DELAY) && admitted.beginsProgram();
+                gateway.settings().policy().isEnabled(Mechanism.PROGRAM_START_DELAY) && admitted.beginsProgram();
         long left = admitted.deadlineMillis() - gateway.clock().now();
         double chance = ThreadLocalRandom.current().nextDouble();
         long wait = QuotaWaitPolicy.retryAfterMillis(delayedStart, account.ratePerSecond(), left, chance);
--- a/server/src/main/java/org/quetzalshunt/server/gateway/BudgetManager.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/BudgetManager.java
@@ -129,7 +129,7 @@
         this.store = store;
         this.clock = clock;
         this.holder = settings.incarnationId();
-        this.transfersAllotments = settings.policy().has(Mechanism.PEER_HISTORY);
+        this.transfersAllotments = settings.policy().isEnabled(Mechanism.PEER_HISTORY);
     }
 
     private ProgramState stateOf(String program) {
--- a/server/src/main/java/org/quetzalshunt/server/gateway/ChainExchange.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/ChainExchange.java
@@ -84,7 +84,7 @@
     private boolean shouldAskPeer(String turn) {
         // While the store fails, the new turn could not be stored. Reading the chain from the store detects that before
         // the turn is sent to an endpoint.
-        return settings.policy().has(Mechanism.PEER_HISTORY) && !history.isCached(turn) && !store.isFailing();
+        return settings.policy().isEnabled(Mechanism.PEER_HISTORY) && !history.isCached(turn) && !store.isFailing();
     }
 
     /**
@@ -105,7 +105,7 @@
 
     /** Publishes in the directory that this VM has a turn. */
     void onTurnStored(String turn) {
-        if (!settings.policy().has(Mechanism.PEER_HISTORY)) {
+        if (!settings.policy().isEnabled(Mechanism.PEER_HISTORY)) {
             return;
         }
         String directoryVm = directoryOf(turn);
@@ -188,7 +188,7 @@
 
     /** Tells all peers that the budget of a program is exhausted, since each of them may receive its next turn. */
     void broadcastExhausted(String program, long allottedTokens) {
-        if (settings.policy().has(Mechanism.SHARED_EXHAUSTION)) {
+        if (settings.policy().isEnabled(Mechanism.SHARED_EXHAUSTION)) {
             Message message = Message.budgetExhausted(new BudgetExhausted(program, allottedTokens));
             links.connectedVms().forEach(vm -> links.send(vm, message));
         }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/FleetFollower.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/FleetFollower.java
@@ -118,7 +118,7 @@
             return;
         }
         boolean leasedAndSettled = lease.inForce(clock.now()) && settled.getAsBoolean();
-        boolean fastRenewal = policy.has(Mechanism.FAST_RENEWAL);
+        boolean fastRenewal = policy.isEnabled(Mechanism.FAST_RENEWAL);
         long intervalMillis = RenewalInterval.nextMillis(leasedAndSettled || !fastRenewal);
         executor.schedule(() -> startRoundIfCurrent(round), intervalMillis, TimeUnit.MILLISECONDS);
     }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/Gateway.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/Gateway.java
@@ -55,7 +55,7 @@
         if (isolatedFromStore() && links.anyLocalPeerReachesStore()) {
             return OTHER_VM_RETRY_AFTER_MILLIS;
         }
-        long outageDelayMillis = settings.policy().has(Mechanism.OUTAGE_RETRY_DELAY)
+        long outageDelayMillis = settings.policy().isEnabled(Mechanism.OUTAGE_RETRY_DELAY)
                 ? OutageWaitPolicy.retryAfterMillis(
                         remainingMillis, ThreadLocalRandom.current().nextDouble())
                 : Math.min(BASIC_OUTAGE_RETRY_AFTER_MILLIS, remainingMillis / REMAINING_TIME_DIVISOR);
--- a/server/src/test/java/org/quetzalshunt/server/gateway/BudgetManagerTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/BudgetManagerTest.java
@@ -72,7 +72,7 @@
             InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
             for (int gateway = 0; gateway < GATEWAYS; gateway++) {
                 GatewaySettings settings = new GatewaySettings(
-                        "vm-" + gateway, 1, "a", any, any, any, 5_000, 1_000, Map.of(), Policy.whole());
+                        "vm-" + gateway, 1, "a", any, any, any, 5_000, 1_000, Map.of(), Policy.allEnabled());
                 managers.add(new BudgetManager(
                         executor, new StoreClient(map, clock), clock, settings, () -> false, this::notifyPeers));
             }
--- a/server/src/test/java/org/quetzalshunt/server/gateway/ConfigurationFollowerTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/ConfigurationFollowerTest.java
@@ -22,7 +22,7 @@
     private final EventExecutor executor = new DefaultEventExecutor();
     private final NodeClock clock = new NodeClock(() -> {});
 
-    private final EndpointTable endpoints = EndpointTable.create("a", 1, Policy.whole());
+    private final EndpointTable endpoints = EndpointTable.create("a", 1, Policy.allEnabled());
 
     private static DecisionLog log() {
         return DecisionLog.start(
