--- a/core/src/main/java/org/quetzalshunt/core/quarantine/CrashTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/quarantine/CrashTable.java
@@ -21,7 +21,7 @@
      * How long a request's crashes are remembered after the last of them. Callers retry within seconds, and an endpoint
      * that was repaired should be tried again.
      */
-    public static final long KEEP_MILLIS = 120_000;
+    public static final long RETENTION_MILLIS = 120_000;
 
     private final Map<String, CrashEntry> entries = new HashMap<>();
 
@@ -37,19 +37,19 @@
      *
      * @param crash id of the crash; a crash that is reported more than once is counted once
      */
-    public void crashed(long nowMillis, String fingerprint, String crash) {
+    public void recordCrash(long nowMillis, String fingerprint, String crash) {
         CrashEntry entry = entries.computeIfAbsent(fingerprint, ignored -> new CrashEntry());
         entry.crashIds.add(crash);
-        entry.expiresMillis = nowMillis + KEEP_MILLIS;
+        entry.expiresMillis = nowMillis + RETENTION_MILLIS;
     }
 
     /** Removes the entry of a request that an endpoint answered without crashing. */
-    public void answered(String fingerprint) {
+    public void recordAnswer(String fingerprint) {
         entries.remove(fingerprint);
     }
 
     /** Whether the request is quarantined and must not run. */
-    public boolean quarantined(long nowMillis, String fingerprint) {
+    public boolean isQuarantined(long nowMillis, String fingerprint) {
         CrashEntry entry = entries.get(fingerprint);
         if (entry == null) {
             return false;
--- a/core/src/test/java/org/quetzalshunt/core/quarantine/CrashTableTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/quarantine/CrashTableTest.java
@@ -9,20 +9,20 @@
 
     @Test
     void requestIsQuarantinedAfterTheThirdCrash() {
-        table.crashed(0, "f", "a-1");
-        table.crashed(0, "f", "b-1");
-        assertThat(table.quarantined(1, "f")).isFalse();
-        table.crashed(1, "f", "a-2");
-        assertThat(table.quarantined(2, "f")).isTrue();
-        assertThat(table.quarantined(2, "other")).isFalse();
+        table.recordCrash(0, "f", "a-1");
+        table.recordCrash(0, "f", "b-1");
+        assertThat(table.isQuarantined(1, "f")).isFalse();
+        table.recordCrash(1, "f", "a-2");
+        assertThat(table.isQuarantined(2, "f")).isTrue();
+        assertThat(table.isQuarantined(2, "other")).isFalse();
     }
 
     @Test
     void crashReportedTwiceCountsOnce() {
         for (int time = 0; time < 5; time++) {
-            table.crashed(time, "f", "a-1");
+            table.recordCrash(time, "f", "a-1");
         }
-        assertThat(table.quarantined(5, "f")).isFalse();
+        assertThat(table.isQuarantined(5, "f")).isFalse();
     }
 
     /**
@@ -31,19 +31,19 @@
      */
     @Test
     void answeredRequestIsNotQuarantined() {
-        table.crashed(0, "f", "a-1");
-        table.crashed(0, "f", "a-2");
-        table.answered("f");
-        table.crashed(0, "f", "a-3");
-        assertThat(table.quarantined(1, "f")).isFalse();
+        table.recordCrash(0, "f", "a-1");
+        table.recordCrash(0, "f", "a-2");
+        table.recordAnswer("f");
+        table.recordCrash(0, "f", "a-3");
+        assertThat(table.isQuarantined(1, "f")).isFalse();
     }
 
     @Test
     void quarantineExpires() {
         for (int crash = 0; crash < CrashTable.QUARANTINE_CRASHES; crash++) {
-            table.crashed(0, "f", "a-" + crash);
+            table.recordCrash(0, "f", "a-" + crash);
         }
-        assertThat(table.quarantined(CrashTable.KEEP_MILLIS, "f")).isFalse();
+        assertThat(table.isQuarantined(CrashTable.RETENTION_MILLIS, "f")).isFalse();
         assertThat(table.isEmpty()).isTrue();
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/CrashReporter.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/CrashReporter.java
@@ -63,13 +63,13 @@
 
     /** Whether the request must not run because endpoints crashed while running it. */
     boolean isQuarantined(AdmittedRequest admitted) {
-        return !table.isEmpty() && table.quarantined(clock.now(), fingerprint(admitted));
+        return !table.isEmpty() && table.isQuarantined(clock.now(), fingerprint(admitted));
     }
 
     /** Removes the crash reports of a request that an endpoint answered completely. */
     void onAnswered(AdmittedRequest admitted) {
         if (!table.isEmpty()) {
-            table.answered(fingerprint(admitted));
+            table.recordAnswer(fingerprint(admitted));
         }
     }
 
@@ -96,8 +96,8 @@
                 .put("request", admitted.request().id())
                 .put("fingerprint", fingerprint)
                 .put("endpoint", endpoint.id()));
-        table.crashed(clock.now(), fingerprint, crash);
-        String expires = Long.toString(clock.wallMillis() + CrashTable.KEEP_MILLIS);
+        table.recordCrash(clock.now(), fingerprint, crash);
+        String expires = Long.toString(clock.wallMillis() + CrashTable.RETENTION_MILLIS);
         MapEntry entry =
                 MapEntry.of(KEY_PREFIX + fingerprint + SEPARATOR + crash, expires.getBytes(StandardCharsets.US_ASCII));
         store.append(SHARD, List.of(entry), OptionalLong.empty(), answer -> {});
@@ -112,7 +112,7 @@
             return;
         }
         String fingerprint = entry.key().substring(KEY_PREFIX.length(), separator);
-        table.crashed(clock.now(), fingerprint, entry.key().substring(separator + 1));
+        table.recordCrash(clock.now(), fingerprint, entry.key().substring(separator + 1));
     }
 
     private static long expiryMillis(byte[] value) {
