--- a/core/src/main/java/org/quetzalshunt/core/store/ResponseTimeout.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/ResponseTimeout.java
@@ -37,7 +37,7 @@
     }
 
     /** Records the latency of an answered call. */
-    public void answered(long latencyMillis) {
+    public void recordLatency(long latencyMillis) {
         averageMillis += SMOOTHING_FACTOR * (latencyMillis - averageMillis);
         double unboundedMillis =
                 Math.max(MINIMUM_MILLIS, AVERAGE_MULTIPLE * Math.max(averageMillis, latencyMillis / 2.0));
@@ -45,7 +45,7 @@
     }
 
     /** Records a call that timed out or failed. */
-    public void unanswered() {
+    public void recordFailure() {
         timeoutMillis = Math.min(MAXIMUM_MILLIS, 2 * timeoutMillis);
     }
 }
--- a/core/src/test/java/org/quetzalshunt/core/store/ResponseTimeoutTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/store/ResponseTimeoutTest.java
@@ -11,13 +11,13 @@
         ResponseTimeout limit = ResponseTimeout.create();
         for (int call = 0; call < 30; call++) {
             if (call % 3 == 0) {
-                limit.unanswered();
+                limit.recordFailure();
             } else {
-                limit.answered(7);
+                limit.recordLatency(7);
             }
             assertThat(limit.millis()).isAtMost(600);
         }
-        limit.answered(7);
+        limit.recordLatency(7);
         assertThat(limit.millis()).isEqualTo(150);
     }
 
@@ -27,10 +27,10 @@
     @Test
     void timeoutAdaptsToASlowStore() {
         ResponseTimeout limit = ResponseTimeout.create();
-        limit.unanswered();
+        limit.recordFailure();
         assertThat(limit.millis()).isGreaterThan(240);
         for (int call = 0; call < 20; call++) {
-            limit.answered(240);
+            limit.recordLatency(240);
             assertThat(limit.millis()).isGreaterThan(240);
         }
     }
@@ -39,7 +39,7 @@
     void timeoutIsBounded() {
         ResponseTimeout limit = ResponseTimeout.create();
         for (int call = 0; call < 20; call++) {
-            limit.unanswered();
+            limit.recordFailure();
         }
         assertThat(limit.millis()).isEqualTo(1_200);
     }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/StoreClient.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/StoreClient.java
@@ -106,14 +106,14 @@
             failedSinceMillis = failures == 0 ? sentMillis : failedSinceMillis;
             failures++;
             lastFailureMillis = clock.now();
-            timeout.unanswered();
+            timeout.recordFailure();
             return;
         }
         boolean recovered = isUnavailable();
         failures = 0;
         // The duration of a long poll does not measure the latency of the store.
         if (waitMillis == 0) {
-            timeout.answered(clock.now() - sentMillis);
+            timeout.recordLatency(clock.now() - sentMillis);
         }
         if (recovered) {
             onRecovered.forEach(Runnable::run);
