--- a/core/src/main/java/org/quetzalshunt/core/program/IdempotencyCheck.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/IdempotencyCheck.java
@@ -18,11 +18,11 @@
             return keyReused();
         }
         if (!result.ended()) {
-            return new Admission.Refused(Refusal.after(
+            return new Admission.Refused(Refusal.withExecution(
                     ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, "request " + result.requestId() + " may have run"));
         }
         if (result.resultCode() != ResultCode.OK.number()) {
-            return new Admission.Refused(Refusal.after(
+            return new Admission.Refused(Refusal.withExecution(
                     ResultCode.fromNumber(result.resultCode()),
                     Execution.UNKNOWN,
                     "recorded outcome of a request sent before with the same idempotency key"));
--- a/core/src/main/java/org/quetzalshunt/core/result/Refusal.java
+++ b/core/src/main/java/org/quetzalshunt/core/result/Refusal.java
@@ -23,7 +23,7 @@
     }
 
     /** Creates a refusal of a request that ran or may have run. */
-    public static Refusal after(ResultCode code, Execution execution, String detail) {
+    public static Refusal withExecution(ResultCode code, Execution execution, String detail) {
         return new Refusal(code, execution, detail, OptionalLong.empty());
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/AdminApi.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/AdminApi.java
@@ -201,7 +201,7 @@
                 refuse(
                         exchange,
                         requestId,
-                        Refusal.after(
+                        Refusal.withExecution(
                                 ResultCode.APPEND_UNKNOWN,
                                 Execution.UNKNOWN,
                                 "read the document to see whether the change was applied"));
--- a/server/src/main/java/org/quetzalshunt/server/entry/CallRun.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/CallRun.java
@@ -142,7 +142,8 @@
         boolean unknown = mayHaveRun || attemptId.isPresent();
         sendRefusal(
                 unknown
-                        ? Refusal.after(ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, "the owner of the shard changed")
+                        ? Refusal.withExecution(
+                                ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, "the owner of the shard changed")
                         : Refusal.notRunRetryAfter(ResultCode.NOT_OWNER, "the owner of the shard changed", 1_000));
     }
 
@@ -183,7 +184,7 @@
             return;
         }
         ResultCode code = mayHaveRun && !repeatable ? ResultCode.OUTCOME_UNKNOWN : outcome.code();
-        fail(Refusal.after(
+        fail(Refusal.withExecution(
                 code, mayHaveRun ? Execution.UNKNOWN : Execution.NOT_RUN, attemptCount + " attempts were made"));
     }
 
@@ -215,7 +216,7 @@
         @Override
         public void onExpired(Refusal refusal) {
             queuedItem = Optional.empty();
-            fail(mayHaveRun ? Refusal.after(refusal.code(), Execution.UNKNOWN, refusal.detail()) : refusal);
+            fail(mayHaveRun ? Refusal.withExecution(refusal.code(), Execution.UNKNOWN, refusal.detail()) : refusal);
         }
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/entry/ChatRun.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ChatRun.java
@@ -75,7 +75,7 @@
         if (done || request.hasCallerIdempotencyKey()) {
             return;
         }
-        fail(Refusal.after(
+        fail(Refusal.withExecution(
                 ResultCode.CANCELLED,
                 mayHaveRun ? Execution.RAN : Execution.NOT_RUN,
                 "the caller closed the connection"));
@@ -112,7 +112,7 @@
      */
     private Refusal ownershipRefusal() {
         return sink.started()
-                ? Refusal.after(
+                ? Refusal.withExecution(
                         ResultCode.OUTCOME_UNKNOWN,
                         Execution.UNKNOWN,
                         "the owner of the shard changed; send the request again")
@@ -223,7 +223,7 @@
             return;
         }
         Execution execution = mayHaveRun ? Execution.RAN : Execution.NOT_RUN;
-        fail(Refusal.after(outcome.code(), execution, "failed after " + attemptCount + " attempts"));
+        fail(Refusal.withExecution(outcome.code(), execution, "failed after " + attemptCount + " attempts"));
     }
 
     private static boolean isRetryable(ResultCode code) {
@@ -255,7 +255,7 @@
         @Override
         public void onExpired(Refusal refusal) {
             queuedItem = Optional.empty();
-            fail(mayHaveRun ? Refusal.after(refusal.code(), Execution.RAN, refusal.detail()) : refusal);
+            fail(mayHaveRun ? Refusal.withExecution(refusal.code(), Execution.RAN, refusal.detail()) : refusal);
         }
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/entry/OwnerRouter.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/OwnerRouter.java
@@ -143,7 +143,7 @@
         }
         CallerResponses.sendError(
                 pending.sink,
-                Refusal.after(
+                Refusal.withExecution(
                         ResultCode.OUTCOME_UNKNOWN,
                         Execution.UNKNOWN,
                         "the link to the owner of the shard broke during the response"),
@@ -198,7 +198,7 @@
             ForwardedRequest state = forwarded.remove(exchange.longValue());
             CallerResponses.sendError(
                     state.pending.sink,
-                    Refusal.after(
+                    Refusal.withExecution(
                             ResultCode.OUTCOME_UNKNOWN,
                             Execution.UNKNOWN,
                             "the owner of the shard did not answer in time"),
@@ -231,7 +231,7 @@
     /** A request that was forwarded before may have run, so it must not be reported as not run. */
     private static Refusal unreachable(PendingRoute pending) {
         if (pending.wasForwarded) {
-            return Refusal.after(
+            return Refusal.withExecution(
                     ResultCode.OUTCOME_UNKNOWN,
                     Execution.UNKNOWN,
                     "the link to the owner of the shard broke and no owner was found in time");
--- a/server/src/main/java/org/quetzalshunt/server/entry/PendingResponses.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/PendingResponses.java
@@ -40,7 +40,7 @@
         pending.removeAll(overdue);
         overdue.forEach(response -> CallerResponses.sendError(
                 response.sink,
-                Refusal.after(
+                Refusal.withExecution(
                         ResultCode.OUTCOME_UNKNOWN,
                         Execution.UNKNOWN,
                         "not durable by the deadline; send the request again with the same idempotency key"),
--- a/server/src/main/java/org/quetzalshunt/server/gateway/BufferedForwarder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/BufferedForwarder.java
@@ -119,14 +119,17 @@
             attempt();
             return;
         }
-        refuse(Refusal.after(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, reason));
+        refuse(Refusal.withExecution(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, reason));
     }
 
     @Override
     public void onRefused(Refusal refusal) {
         cancelAttemptTimeout();
         // An earlier attempt may have run, so that reporting "not run" could be false.
-        refuse(attempts > 1 ? Refusal.after(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, refusal.detail()) : refusal);
+        refuse(
+                attempts > 1
+                        ? Refusal.withExecution(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, refusal.detail())
+                        : refusal);
     }
 
     private void onDeadline() {
@@ -134,7 +137,8 @@
         call.cancel(AttemptOutcome.ofLate(headers != null));
         refuse(
                 mayHaveRun
-                        ? Refusal.after(ResultCode.DEADLINE_PASSED_RUNNING, Execution.UNKNOWN, "no answer in time")
+                        ? Refusal.withExecution(
+                                ResultCode.DEADLINE_PASSED_RUNNING, Execution.UNKNOWN, "no answer in time")
                         : Refusal.notRun(ResultCode.DEADLINE_UNREACHABLE, "no endpoint took it in time"));
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/StreamForwarder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/StreamForwarder.java
@@ -131,7 +131,7 @@
         // The endpoint may have run the turn already, so that neither "budget exhausted" nor "not run" would be a true
         // result.
         call.cancel(AttemptOutcome.NEUTRAL);
-        fail(Refusal.after(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, refusal.detail()));
+        fail(Refusal.withExecution(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, refusal.detail()));
     }
 
     private Refusal toRefusal(BudgetManager.Verdict verdict) {
@@ -286,7 +286,7 @@
 
     @Override
     public void onBroken(String reason) {
-        fail(Refusal.after(ResultCode.ANSWER_CUT, Execution.UNKNOWN, reason));
+        fail(Refusal.withExecution(ResultCode.ANSWER_CUT, Execution.UNKNOWN, reason));
     }
 
     @Override
@@ -301,7 +301,7 @@
         }
         fail(
                 mayHaveRun
-                        ? Refusal.after(ResultCode.DEADLINE_PASSED_RUNNING, Execution.UNKNOWN, lateDetail())
+                        ? Refusal.withExecution(ResultCode.DEADLINE_PASSED_RUNNING, Execution.UNKNOWN, lateDetail())
                         : Refusal.notRun(ResultCode.DEADLINE_UNREACHABLE, "not sent in time"));
     }
 
