--- a/core/src/main/java/org/quetzalshunt/core/route/AccountTerms.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/AccountConfiguration.java
@@ -11,9 +11,10 @@
  * @param burst requests that may arrive at once after an idle period, over the whole fleet
  * @param allowedRegions regions in which the account's requests may run; empty for any
  */
-public record AccountTerms(String name, int priority, double ratePerSecond, double burst, Set<String> allowedRegions) {
+public record AccountConfiguration(
+        String name, int priority, double ratePerSecond, double burst, Set<String> allowedRegions) {
     /** Whether the account has a rate limit. */
-    public boolean limited() {
+    public boolean isRateLimited() {
         return ratePerSecond > 0;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/route/TrafficConfiguration.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/TrafficConfiguration.java
@@ -17,8 +17,8 @@
         long version,
         RouteTable routes,
         Map<String, ServiceEntry> services,
-        Map<String, AccountTerms> accountsByKey,
-        Map<String, AccountTerms> accounts,
+        Map<String, AccountConfiguration> accountsByKey,
+        Map<String, AccountConfiguration> accounts,
         CallerLimits limits) {
 
     /** Whether a key is required on all routes that are not open: true if any account is configured. */
@@ -27,7 +27,7 @@
     }
 
     /** Finds the client account of a key. */
-    public Optional<AccountTerms> accountOf(String key) {
+    public Optional<AccountConfiguration> accountOf(String key) {
         return Optional.ofNullable(accountsByKey.get(key));
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
@@ -10,7 +10,7 @@
 import org.quetzalshunt.core.quota.TokenSearch;
 import org.quetzalshunt.core.result.Refusal;
 import org.quetzalshunt.core.result.ResultCode;
-import org.quetzalshunt.core.route.AccountTerms;
+import org.quetzalshunt.core.route.AccountConfiguration;
 import org.quetzalshunt.core.route.RequestKind;
 import org.quetzalshunt.core.route.Route;
 import org.quetzalshunt.core.route.ServiceEntry;
@@ -97,7 +97,7 @@
             refuse(received, Refusal.notRun(ResultCode.UNKNOWN_PATH, "no route"));
             return;
         }
-        Optional<AccountTerms> account = request.key().flatMap(configuration::accountOf);
+        Optional<AccountConfiguration> account = request.key().flatMap(configuration::accountOf);
         if (configuration.keysRequired() && !open && account.isEmpty()) {
             ResultCode code = request.key().isEmpty() ? ResultCode.MISSING_KEY : ResultCode.UNKNOWN_KEY;
             refuse(received, Refusal.notRun(code, "checked against configuration version " + configuration.version()));
@@ -144,7 +144,10 @@
     }
 
     private void admit(
-            ReceivedRequest received, TrafficConfiguration configuration, Route route, Optional<AccountTerms> account) {
+            ReceivedRequest received,
+            TrafficConfiguration configuration,
+            Route route,
+            Optional<AccountConfiguration> account) {
         CallerRequest request = received.request();
         ServiceEntry service = configuration
                 .services()
@@ -195,7 +198,7 @@
         takeRateToken(received, admitted, account.get());
     }
 
-    private void takeRateToken(ReceivedRequest received, AdmittedRequest admitted, AccountTerms account) {
+    private void takeRateToken(ReceivedRequest received, AdmittedRequest admitted, AccountConfiguration account) {
         long left = admitted.deadlineMillis() - gateway.clock().now();
         boolean urgent = gateway.settings().policy().isEnabled(Mechanism.URGENT_STARTS)
                 && admitted.route().priority() == HIGHEST_PRIORITY;
@@ -262,7 +265,7 @@
         ResultReporter.refuse(gateway, admitted, refusal, Optional.empty());
     }
 
-    private void refuseOverQuota(AdmittedRequest admitted, AccountTerms account, long shortestMillis) {
+    private void refuseOverQuota(AdmittedRequest admitted, AccountConfiguration account, long shortestMillis) {
         boolean delayedStart =
                 gateway.settings().policy().isEnabled(Mechanism.PROGRAM_START_DELAY) && admitted.beginsProgram();
         long left = admitted.deadlineMillis() - gateway.clock().now();
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.quetzalshunt.core.quota.OutageWaitPolicy;
-import org.quetzalshunt.core.route.AccountTerms;
+import org.quetzalshunt.core.route.AccountConfiguration;
 import org.quetzalshunt.core.route.EngineShape;
 import org.quetzalshunt.core.route.RequestKind;
 import org.quetzalshunt.core.route.Route;
@@ -32,7 +32,7 @@
         CallerRequest request,
         Route route,
         ServiceEntry service,
-        Optional<AccountTerms> account,
+        Optional<AccountConfiguration> account,
         long configurationVersion,
         long arrivedMillis,
         long deadlineMillis,
@@ -53,13 +53,13 @@
      * equally ranked accounts by the priority of their route.
      */
     int urgency() {
-        int accountPriority = account.map(AccountTerms::priority).orElse(0);
+        int accountPriority = account.map(AccountConfiguration::priority).orElse(0);
         return PRIORITY_LEVELS * Math.max(0, accountPriority)
                 + Math.min(PRIORITY_LEVELS - 1, Math.max(0, route.priority()));
     }
 
     String accountName() {
-        return account.map(AccountTerms::name).orElse("");
+        return account.map(AccountConfiguration::name).orElse("");
     }
 
     int tokensPerEvent() {
@@ -123,7 +123,8 @@
      * @param regions region of each data centre
      */
     Optional<Set<String>> homeDataCentres(Map<String, String> regions) {
-        Set<String> accountRegions = account.map(AccountTerms::allowedRegions).orElse(Set.of());
+        Set<String> accountRegions =
+                account.map(AccountConfiguration::allowedRegions).orElse(Set.of());
         if (route.allowedRegions().isEmpty() && accountRegions.isEmpty()) {
             return Optional.empty();
         }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/QuotaManager.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/QuotaManager.java
@@ -11,7 +11,7 @@
 import org.quetzalshunt.core.quota.TokenOffer;
 import org.quetzalshunt.core.quota.TokenSearch;
 import org.quetzalshunt.core.quota.VmLease;
-import org.quetzalshunt.core.route.AccountTerms;
+import org.quetzalshunt.core.route.AccountConfiguration;
 import org.quetzalshunt.core.route.TrafficConfiguration;
 
 /**
@@ -72,7 +72,7 @@
     void onConfigurationChange(TrafficConfiguration current) {
         Map<String, QuotaTerms> quotas = new HashMap<>();
         current.accounts().values().stream()
-                .filter(AccountTerms::limited)
+                .filter(AccountConfiguration::isRateLimited)
                 .forEach(account ->
                         quotas.put(account.name(), new QuotaTerms(account.ratePerSecond(), account.burst())));
         leases.setAccounts(quotas);
@@ -84,8 +84,8 @@
      *
      * @param maximumWaitMillis maximum time for which the request may wait for a token that is not available yet
      */
-    void takeToken(AccountTerms account, long maximumWaitMillis, Consumer<TokenSearch.Result> listener) {
-        if (!account.limited()) {
+    void takeToken(AccountConfiguration account, long maximumWaitMillis, Consumer<TokenSearch.Result> listener) {
+        if (!account.isRateLimited()) {
             listener.accept(new TokenSearch.Result.Granted(0));
             return;
         }
@@ -132,8 +132,8 @@
         return configuration
                 .get()
                 .filter(current -> current.accounts().values().stream()
-                        .filter(AccountTerms::limited)
-                        .map(AccountTerms::name)
+                        .filter(AccountConfiguration::isRateLimited)
+                        .map(AccountConfiguration::name)
                         .allMatch(this::reachesLeaseHolder))
                 .isPresent();
     }
--- a/server/src/test/java/org/quetzalshunt/server/gateway/HomeDataCentresTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/HomeDataCentresTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.quetzalshunt.core.route.AccountTerms;
+import org.quetzalshunt.core.route.AccountConfiguration;
 import org.quetzalshunt.core.route.RequestKind;
 import org.quetzalshunt.core.route.Route;
 import org.quetzalshunt.core.route.RouteTarget;
@@ -52,7 +52,8 @@
                 List.of(),
                 OptionalLong.empty());
         ServiceEntry service = new ServiceEntry("llm", 100, 0, Optional.empty());
-        Optional<AccountTerms> account = Optional.of(new AccountTerms("arusha", 0, 0, 0, accountRegions));
+        Optional<AccountConfiguration> account =
+                Optional.of(new AccountConfiguration("arusha", 0, 0, 0, accountRegions));
         RequestTimeline timeline = new RequestTimeline(new NodeClock(() -> {}), 0);
         return new AdmittedRequest(null, request, route, service, account, 1, 0, 3_000, timeline, false);
     }
