--- a/core/src/main/java/org/quetzalshunt/core/route/ServiceEntry.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/ServiceConfiguration.java
@@ -10,5 +10,5 @@
  *     for no limit
  * @param engine engine parameters of a model service; empty for other services
  */
-public record ServiceEntry(
+public record ServiceConfiguration(
         String name, int maximumConnections, double coldRequestsPerSecond, Optional<EngineShape> engine) {}
--- a/core/src/main/java/org/quetzalshunt/core/route/TrafficConfiguration.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/TrafficConfiguration.java
@@ -16,7 +16,7 @@
 public record TrafficConfiguration(
         long version,
         RouteTable routes,
-        Map<String, ServiceEntry> services,
+        Map<String, ServiceConfiguration> services,
         Map<String, AccountConfiguration> accountsByKey,
         Map<String, AccountConfiguration> accounts,
         CallerLimits limits) {
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
@@ -13,7 +13,7 @@
 import org.quetzalshunt.core.route.AccountConfiguration;
 import org.quetzalshunt.core.route.RequestKind;
 import org.quetzalshunt.core.route.Route;
-import org.quetzalshunt.core.route.ServiceEntry;
+import org.quetzalshunt.core.route.ServiceConfiguration;
 import org.quetzalshunt.core.route.TrafficConfiguration;
 import org.quetzalshunt.server.http.HttpExchange;
 
@@ -149,7 +149,7 @@
             Route route,
             Optional<AccountConfiguration> account) {
         CallerRequest request = received.request();
-        ServiceEntry service = configuration
+        ServiceConfiguration service = configuration
                 .services()
                 .get(route.serviceFor(request.program().orElse(request.id()).hashCode()));
         if (service == null) {
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
@@ -9,7 +9,7 @@
 import org.quetzalshunt.core.route.EngineShape;
 import org.quetzalshunt.core.route.RequestKind;
 import org.quetzalshunt.core.route.Route;
-import org.quetzalshunt.core.route.ServiceEntry;
+import org.quetzalshunt.core.route.ServiceConfiguration;
 import org.quetzalshunt.server.http.HttpExchange;
 
 /**
@@ -31,7 +31,7 @@
         HttpExchange exchange,
         CallerRequest request,
         Route route,
-        ServiceEntry service,
+        ServiceConfiguration service,
         Optional<AccountConfiguration> account,
         long configurationVersion,
         long arrivedMillis,
--- a/server/src/test/java/org/quetzalshunt/server/gateway/HomeDataCentresTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/HomeDataCentresTest.java
@@ -15,7 +15,7 @@
 import org.quetzalshunt.core.route.RequestKind;
 import org.quetzalshunt.core.route.Route;
 import org.quetzalshunt.core.route.RouteTarget;
-import org.quetzalshunt.core.route.ServiceEntry;
+import org.quetzalshunt.core.route.ServiceConfiguration;
 
 /** Data centres of three regions in which a request may run, by the regions that its route and its account allow. */
 final class HomeDataCentresTest {
@@ -51,7 +51,7 @@
                 OptionalLong.empty(),
                 List.of(),
                 OptionalLong.empty());
-        ServiceEntry service = new ServiceEntry("llm", 100, 0, Optional.empty());
+        ServiceConfiguration service = new ServiceConfiguration("llm", 100, 0, Optional.empty());
         Optional<AccountConfiguration> account =
                 Optional.of(new AccountConfiguration("arusha", 0, 0, 0, accountRegions));
         RequestTimeline timeline = new RequestTimeline(new NodeClock(() -> {}), 0);
