--- a/core/src/main/java/org/quetzalshunt/core/route/EngineShape.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/EngineCapacity.java
@@ -7,4 +7,4 @@
  * @param cacheTokens tokens that the prompt cache of one engine holds
  * @param tokensPerEvent generated tokens in one event of a streamed response
  */
-public record EngineShape(int slots, long cacheTokens, int tokensPerEvent) {}
+public record EngineCapacity(int slots, long cacheTokens, int tokensPerEvent) {}
--- a/core/src/main/java/org/quetzalshunt/core/route/ServiceConfiguration.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/ServiceConfiguration.java
@@ -11,4 +11,4 @@
  * @param engine engine parameters of a model service; empty for other services
  */
 public record ServiceConfiguration(
-        String name, int maximumConnections, double coldRequestsPerSecond, Optional<EngineShape> engine) {}
+        String name, int maximumConnections, double coldRequestsPerSecond, Optional<EngineCapacity> engine) {}
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 import org.quetzalshunt.core.quota.OutageWaitPolicy;
 import org.quetzalshunt.core.route.AccountConfiguration;
-import org.quetzalshunt.core.route.EngineShape;
+import org.quetzalshunt.core.route.EngineCapacity;
 import org.quetzalshunt.core.route.RequestKind;
 import org.quetzalshunt.core.route.Route;
 import org.quetzalshunt.core.route.ServiceConfiguration;
@@ -63,7 +63,7 @@
     }
 
     int tokensPerEvent() {
-        return service.engine().map(EngineShape::tokensPerEvent).orElse(1);
+        return service.engine().map(EngineCapacity::tokensPerEvent).orElse(1);
     }
 
     /** Maximum number of tokens that the turn may generate, rounded up to whole events. */
--- a/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.quetzalshunt.core.result.Refusal;
 import org.quetzalshunt.core.result.ResultCode;
-import org.quetzalshunt.core.route.EngineShape;
+import org.quetzalshunt.core.route.EngineCapacity;
 import org.quetzalshunt.core.route.RequestKind;
 import org.quetzalshunt.core.routing.AttemptOutcome;
 import org.quetzalshunt.core.routing.EndpointLimits;
@@ -207,7 +207,7 @@
         int maximumInFlight = Math.max(2, admitted.service().maximumConnections() / liveVms);
         long cacheTokens = admitted.service()
                 .engine()
-                .map(EngineShape::cacheTokens)
+                .map(EngineCapacity::cacheTokens)
                 .filter(tokens -> tokens > 0)
                 .orElse(Long.MAX_VALUE);
         double coldRequestsPerSecond = COLD_RATE_SHARE * admitted.service().coldRequestsPerSecond() / liveVms;
