--- a/core/src/main/java/org/quetzalshunt/core/route/Route.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/Route.java
@@ -17,7 +17,7 @@
  * @param maximumAttempts maximum number of endpoints that a request is sent to
  * @param stateful whether requests are turns of programs whose history the system stores
  * @param retentionMillis how long a stored turn is retained
- * @param open whether requests are accepted without a key
+ * @param keyless whether requests are accepted without a key
  * @param allowedRegions regions in which requests of the route may run; empty for any
  */
 public record Route(
@@ -32,7 +32,7 @@
         int maximumAttempts,
         boolean stateful,
         long retentionMillis,
-        boolean open,
+        boolean keyless,
         Set<String> allowedRegions) {
 
     /**
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
@@ -84,8 +84,8 @@
         }
         TrafficConfiguration configuration = current.get();
         Optional<Route> route = configuration.routes().find(request.host(), request.path());
-        boolean open = route.filter(Route::open).isPresent();
-        if (!isCurrent() && configuration.keysRequired() && !open) {
+        boolean keyless = route.filter(Route::keyless).isPresent();
+        if (!isCurrent() && configuration.keysRequired() && !keyless) {
             if (!awaitRecovery(received, this::isCurrent)) {
                 refuse(
                         received,
@@ -98,7 +98,7 @@
             return;
         }
         Optional<AccountConfiguration> account = request.key().flatMap(configuration::accountOf);
-        if (configuration.keysRequired() && !open && account.isEmpty()) {
+        if (configuration.keysRequired() && !keyless && account.isEmpty()) {
             ResultCode code = request.key().isEmpty() ? ResultCode.MISSING_KEY : ResultCode.UNKNOWN_KEY;
             refuse(received, Refusal.notRun(code, "checked against configuration version " + configuration.version()));
             return;
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
@@ -19,7 +19,7 @@
  * @param request the decoded request
  * @param route route that matched its host and path
  * @param service service that the route selected
- * @param account client account that its API key belongs to; empty on an open route
+ * @param account client account that its API key belongs to; empty on a keyless route
  * @param configurationVersion configuration version that it was checked against
  * @param arrivedMillis when it was fully received, on this VM's clock
  * @param deadlineMillis when its final response is due: the earlier of the caller's and the route's timeout
