--- a/core/src/main/java/org/quetzalshunt/core/turn/TurnCache.java
+++ b/core/src/main/java/org/quetzalshunt/core/turn/TurnCache.java
@@ -25,11 +25,11 @@
     /** Adds or replaces a record, and evicts others if the cache exceeds its size. */
     public void put(TurnRecord record) {
         TurnRecord replaced = records.put(record.id(), record);
-        bytes += record.weight() - (replaced == null ? 0 : replaced.weight());
+        bytes += record.sizeBytes() - (replaced == null ? 0 : replaced.sizeBytes());
         while (bytes > maximumBytes && records.size() > 1) {
             Map.Entry<String, TurnRecord> eldest = records.entrySet().iterator().next();
             records.remove(eldest.getKey());
-            bytes -= eldest.getValue().weight();
+            bytes -= eldest.getValue().sizeBytes();
         }
     }
 
--- a/core/src/main/java/org/quetzalshunt/core/turn/TurnRecord.java
+++ b/core/src/main/java/org/quetzalshunt/core/turn/TurnRecord.java
@@ -15,7 +15,7 @@
 public record TurnRecord(
         String id, String account, List<String> ancestors, byte[] input, byte[] output, long expiresMillis) {
     /** Approximate memory use in bytes, with 64 bytes for each object in the record. */
-    public int weight() {
+    public int sizeBytes() {
         return input.length + output.length + 64 * (ancestors.size() + 4);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/ChainExchange.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/ChainExchange.java
@@ -133,7 +133,7 @@
             return;
         }
         Optional<List<TurnRecord>> chain = history.cachedChain(request.getTurn(), request.getAccount())
-                .filter(turns -> turns.stream().mapToInt(TurnRecord::weight).sum() <= MAXIMUM_CHAIN_BYTES);
+                .filter(turns -> turns.stream().mapToInt(TurnRecord::sizeBytes).sum() <= MAXIMUM_CHAIN_BYTES);
         if (chain.isPresent()) {
             answer(request, chain.get());
             return;
