--- a/core/src/main/java/org/quetzalshunt/core/routing/EndpointTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EndpointTable.java
@@ -56,7 +56,7 @@
     }
 
     /** Adds or updates an endpoint from its registration. */
-    public void registered(long nowMillis, Registration registration) {
+    public void register(long nowMillis, Registration registration) {
         rows.register(registration).coldStart.setColdTime(nowMillis, registration.coldMillis(), random.nextDouble());
     }
 
@@ -69,17 +69,17 @@
     }
 
     /** Removes an endpoint. */
-    public void removed(String id) {
+    public void remove(String id) {
         rows.remove(id);
     }
 
     /** Schedules the removal of an endpoint; a registration before that time cancels the removal. */
-    public void removedAt(String id, long atMillis) {
+    public void scheduleRemoval(String id, long atMillis) {
         rows.find(id).ifPresent(row -> row.removalMillis = Math.min(row.removalMillis, atMillis));
     }
 
     /** Removes the endpoints whose scheduled removal is due. */
-    public void sweep(long nowMillis) {
+    public void removeDue(long nowMillis) {
         rows.removeDue(nowMillis);
     }
 
@@ -113,7 +113,7 @@
      * conversation, so this tells a later turn from a first one. Shortly after this process started, every endpoint
      * that was running long before may hold the part.
      */
-    public boolean mayCache(long nowMillis, String service, List<PrefixPart> prompt) {
+    public boolean mayHavePrefixCached(long nowMillis, String service, List<PrefixPart> prompt) {
         if (prompt.isEmpty()) {
             return false;
         }
@@ -127,7 +127,7 @@
      *
      * @param uncachedTokens tokens of the prompt that the endpoint has to prefill
      */
-    public void prompted(String id, RoutingRequest request, long uncachedTokens) {
+    public void recordPrompt(String id, RoutingRequest request, long uncachedTokens) {
         rows.find(id).ifPresent(row -> {
             row.prefillBacklogTokens += uncachedTokens;
             row.memoryTokens = request.memoryTokens();
@@ -153,7 +153,7 @@
     }
 
     /** Records the prefix locations that a peer reported. */
-    public void onPeerPrefixes(List<PrefixLocation> locations) {
+    public void onPeerPrefixLocations(List<PrefixLocation> locations) {
         locations.forEach(location -> rows.find(location.endpoint())
                 .ifPresent(row -> row.prefixCache.add(location.part(), row.memoryTokens)));
     }
@@ -169,7 +169,7 @@
     }
 
     /** Removes a prompt from the prefill backlog of an endpoint, because its prefill is done or was abandoned. */
-    public void prefillDone(String id, long uncachedTokens) {
+    public void recordPrefillDone(String id, long uncachedTokens) {
         rows.find(id)
                 .ifPresent(row -> row.prefillBacklogTokens = Math.max(0, row.prefillBacklogTokens - uncachedTokens));
     }
@@ -180,7 +180,7 @@
      * @param tokensAfterFirst tokens generated after the first event
      * @param tookMillis time since the first event
      */
-    public void generated(String id, long tokensAfterFirst, long tookMillis) {
+    public void recordGeneration(String id, long tokensAfterFirst, long tookMillis) {
         if (tokensAfterFirst <= 0) {
             return;
         }
@@ -217,12 +217,12 @@
      * continues, since its outcome is unknown, but it counts as an error of the endpoint so that no more work is sent
      * there.
      */
-    public void silent(long nowMillis, String id) {
+    public void markUnresponsive(long nowMillis, String id) {
         rows.find(id).ifPresent(row -> row.recordError(nowMillis));
     }
 
     /** Failure rates of this VM's own requests, for the endpoints with a significant rate. */
-    public Map<String, Double> failing(long nowMillis) {
+    public Map<String, Double> failureRates(long nowMillis) {
         Map<String, Double> failing = new HashMap<>();
         for (EndpointRow row : rows.all()) {
             double failureRate = row.ownFailureRate(nowMillis);
@@ -242,10 +242,11 @@
     /**
      * Replaces the prefill backlog that a peer reported.
      *
-     * @param unread tokens by endpoint that the peer sent and that are not prefilled yet; a missing endpoint has none
+     * @param prefillBacklog tokens by endpoint that the peer sent and that are not prefilled yet; a missing endpoint
+     *     has none
      */
-    public void onPeerPrefillBacklog(String vm, Map<String, Long> unread) {
-        peersPrefillBacklog.replace(vm, unread);
+    public void onPeerPrefillBacklog(String vm, Map<String, Long> prefillBacklog) {
+        peersPrefillBacklog.replace(vm, prefillBacklog);
     }
 
     private void addPeerPrefillBacklog(String id, long tokens) {
@@ -275,14 +276,14 @@
     }
 
     /** Requests of this VM in flight by endpoint; endpoints without any are left out. */
-    public Map<String, Integer> running() {
+    public Map<String, Integer> requestsInFlight() {
         return nonZeroCounts(row -> row.inFlight);
     }
 
     /**
      * Prompt tokens by endpoint that this VM sent and that are not prefilled yet; endpoints without any are left out.
      */
-    public Map<String, Long> unread() {
+    public Map<String, Long> prefillBacklog() {
         return nonZeroCounts(row -> row.prefillBacklogTokens);
     }
 
--- a/core/src/test/java/org/quetzalshunt/core/routing/ColdStartTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/ColdStartTest.java
@@ -67,10 +67,10 @@
             return;
         }
         for (int number = 0; number < COLD; number++) {
-            table.registered(now, registration("cold" + number, COLD_MILLIS));
+            table.register(now, registration("cold" + number, COLD_MILLIS));
         }
         for (int number = 0; number < WARM; number++) {
-            table.registered(now, registration("warm" + number, 0));
+            table.register(now, registration("warm" + number, 0));
         }
     }
 
@@ -94,7 +94,7 @@
     @Test
     void coldEndpointIsRateLimitedEvenIfNoOtherIsLeft() {
         EndpointTable table = EndpointTable.create("a", 1, Policy.allEnabled());
-        table.registered(0, registration("cold", COLD_MILLIS));
+        table.register(0, registration("cold", COLD_MILLIS));
         int served = 0;
         for (long now = 0; now < COLD_MILLIS; now += 10) {
             RoutingRequest request = RoutingRequest.plain("llm", Set.of(), limits(4));
@@ -107,8 +107,8 @@
     @Test
     void warmEndpointIsNotLimited() {
         EndpointTable table = EndpointTable.create("a", 1, Policy.allEnabled());
-        table.registered(0, registration("e", COLD_MILLIS));
-        table.registered(100, registration("e", 0));
+        table.register(0, registration("e", COLD_MILLIS));
+        table.register(100, registration("e", 0));
         for (int request = 0; request < 50; request++) {
             assertThat(table.select(100, RoutingRequest.plain("llm", Set.of(), limits(100))))
                     .isPresent();
@@ -121,7 +121,7 @@
         EndpointTable table = EndpointTable.create("a", 1, Policy.allEnabled());
         int served = 0;
         for (long now = 0; now < 2_000; now += 10) {
-            table.registered(now, registration("e", COLD_MILLIS - now));
+            table.register(now, registration("e", COLD_MILLIS - now));
             served += table.select(now, RoutingRequest.plain("llm", Set.of(), limits(100)))
                             .isPresent()
                     ? 1
--- a/core/src/test/java/org/quetzalshunt/core/routing/EndpointTableTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/EndpointTableTest.java
@@ -27,7 +27,7 @@
     @BeforeEach
     void register() {
         for (int number = 0; number < 4; number++) {
-            table.registered(0, registration(number, false, 1));
+            table.register(0, registration(number, false, 1));
         }
     }
 
@@ -124,7 +124,7 @@
     void cachedPromptAttractsWorkUntilQueueingCostsMore() {
         RoutingRequest request = new RoutingRequest(
                 "llm", Set.of(), List.of(new PrefixPart("own", 1_200)), 90_000, EndpointLimits.inFlight(100));
-        table.prompted("e2", request, 1_200);
+        table.recordPrompt("e2", request, 1_200);
         assertThat(select(0, request)).isEqualTo("e2");
         for (int started = 0; started < 12; started++) {
             table.started("e2");
@@ -134,13 +134,13 @@
 
     @Test
     void endpointThatShutsDownGetsNoWork() {
-        table.registered(0, registration(0, true, 1));
+        table.register(0, registration(0, true, 1));
         for (int request = 0; request < 30; request++) {
             assertThat(select(request)).isNotEqualTo("e0");
         }
         for (int number = 1; number < 4; number++) {
             assertThat(availability()).isEqualTo(Availability.AVAILABLE);
-            table.registered(0, registration(number, true, 1));
+            table.register(0, registration(number, true, 1));
         }
         assertThat(availability()).isEqualTo(Availability.NONE);
     }
@@ -149,7 +149,7 @@
     void restartUnderTheSameIdClearsFailures() {
         table.started("e0");
         table.finished(0, "e0", AttemptOutcome.FAILED, 1);
-        table.registered(0, registration(0, false, 2));
+        table.register(0, registration(0, false, 2));
         table.onPeerRunning("vm-2", Map.of("e1", 9, "e2", 9, "e3", 9));
         assertThat(select(10)).isEqualTo("e0");
     }
@@ -160,10 +160,10 @@
      */
     @Test
     void scheduledRemovalIsCancelledByARegistration() {
-        table.removedAt("e0", 2_000);
-        table.removedAt("e1", 2_000);
-        table.registered(0, registration(0, false, 1));
-        table.sweep(2_000);
+        table.scheduleRemoval("e0", 2_000);
+        table.scheduleRemoval("e1", 2_000);
+        table.register(0, registration(0, false, 1));
+        table.removeDue(2_000);
         assertThat(table.find("e0")).isPresent();
         assertThat(table.find("e1")).isEmpty();
     }
@@ -217,7 +217,7 @@
             }
         }
         assertThat(select(6_000)).isEqualTo("e0");
-        assertThat(table.failing(0)).isEmpty();
+        assertThat(table.failureRates(0)).isEmpty();
     }
 
     /** Guards against sending more requests to an endpoint that accepts requests but answers none. */
@@ -225,13 +225,13 @@
     void unresponsiveEndpointGetsNoMoreWork() {
         for (int request = 0; request < 3; request++) {
             table.started("e0");
-            table.silent(1_000, "e0");
+            table.markUnresponsive(1_000, "e0");
         }
         for (int request = 0; request < 20; request++) {
             String id = select(1_010);
             assertThat(id).isNotEqualTo("e0");
             table.started(id);
         }
-        assertThat(table.failing(1_010).keySet()).containsExactly("e0");
+        assertThat(table.failureRates(1_010).keySet()).containsExactly("e0");
     }
 }
--- a/core/src/test/java/org/quetzalshunt/core/routing/EngineSimulation.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/EngineSimulation.java
@@ -127,7 +127,7 @@
         for (int gateway = 0; gateway < shape.gateways(); gateway++) {
             EndpointTable table = EndpointTable.create(dataCentre(gateway), gateway, policy);
             for (int number = 0; number < shape.engines(); number++) {
-                table.registered(
+                table.register(
                         0,
                         new Registration(
                                 Integer.toString(number),
@@ -190,7 +190,7 @@
         turn.selection = turn.gateway.select(now, request).orElseThrow();
         String id = turn.selection.registration().id();
         turn.gateway.started(id);
-        turn.gateway.prompted(id, request, turn.selection.uncachedTokens());
+        turn.gateway.recordPrompt(id, request, turn.selection.uncachedTokens());
         turn.sentMillis = now;
         turn.generated = 16L + random.nextInt((int) MAXIMUM_GENERATED);
         turn.remainingTokens = turn.generated;
@@ -233,7 +233,7 @@
         if (turn.firstEventMillis < 0) {
             turn.firstEventMillis = now;
             String id = turn.selection.registration().id();
-            turn.gateway.prefillDone(id, turn.selection.uncachedTokens());
+            turn.gateway.recordPrefillDone(id, turn.selection.uncachedTokens());
             turn.gateway.onFirstEvent(id, turn.selection.uncachedTokens(), now - turn.sentMillis + TICK_MILLIS);
         }
         turn.remainingTokens -= tokens;
@@ -242,7 +242,7 @@
 
     private void recordEnd(long now, Turn turn) {
         String id = turn.selection.registration().id();
-        turn.gateway.generated(id, turn.generated, now - turn.firstEventMillis);
+        turn.gateway.recordGeneration(id, turn.generated, now - turn.firstEventMillis);
         turn.gateway.finished(now, id, AttemptOutcome.ANSWERED, now - turn.sentMillis);
         totalTurnMillis += now - turn.arrivedMillis;
         turns++;
@@ -270,11 +270,11 @@
     private void report(int one) {
         EndpointTable reporter = gateways.get(one);
         List<PrefixLocation> locations = reporter.takeNewLocations();
-        Map<String, Integer> running = reporter.running();
-        Map<String, Long> unread = reporter.unread();
+        Map<String, Integer> running = reporter.requestsInFlight();
+        Map<String, Long> unread = reporter.prefillBacklog();
         for (int other = 0; other < shape.gateways(); other++) {
             if (other != one) {
-                gateways.get(other).onPeerPrefixes(locations);
+                gateways.get(other).onPeerPrefixLocations(locations);
                 gateways.get(other).onPeerRunning("vm-" + one, running);
                 gateways.get(other).onPeerPrefillBacklog("vm-" + one, unread);
             }
--- a/core/src/test/java/org/quetzalshunt/core/routing/EvacuationTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/EvacuationTest.java
@@ -32,7 +32,7 @@
 
     private void register(String dataCentre, int number) {
         String address = "10.0." + DATA_CENTRES.indexOf(dataCentre) + "." + number + ":80";
-        table.registered(0, new Registration(dataCentre + number, "llm", address, dataCentre, 8, false, 0, 1));
+        table.register(0, new Registration(dataCentre + number, "llm", address, dataCentre, 8, false, 0, 1));
     }
 
     private static RoutingRequest request(EndpointLimits limits) {
--- a/core/src/test/java/org/quetzalshunt/core/routing/PrefixLocationsTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/PrefixLocationsTest.java
@@ -31,7 +31,7 @@
         EndpointTable table = EndpointTable.create("a", seed, policy);
         for (int number = 0; number < ENGINES; number++) {
             String address = "10.0.0." + number + ":80";
-            table.registered(0, new Registration("e" + number, "llm", address, "a", 48, false, 0, 1));
+            table.register(0, new Registration("e" + number, "llm", address, "a", 48, false, 0, 1));
         }
         return table;
     }
@@ -41,7 +41,7 @@
         for (EndpointTable table : List.of(first, second)) {
             for (int number = 0; number < ENGINES; number++) {
                 table.onFirstEvent("e" + number, 12_000, 80);
-                table.generated("e" + number, 250, 400);
+                table.recordGeneration("e" + number, 250, 400);
             }
         }
     }
@@ -58,14 +58,14 @@
         Selection selection = table.select(0, request).orElseThrow();
         String id = selection.registration().id();
         table.started(id);
-        table.prompted(id, request, selection.uncachedTokens());
+        table.recordPrompt(id, request, selection.uncachedTokens());
         return id;
     }
 
     private static String run(EndpointTable table, RoutingRequest request) {
         long uncached = table.select(0, request).orElseThrow().uncachedTokens();
         String id = send(table, request);
-        table.prefillDone(id, uncached);
+        table.recordPrefillDone(id, uncached);
         table.finished(0, id, AttemptOutcome.ANSWERED, 400);
         return id;
     }
@@ -79,7 +79,7 @@
     void turnFollowsItsProgramThroughAnotherVm() {
         String endpoint = send(first, turn("line", 2_000));
         first.finished(0, endpoint, AttemptOutcome.ANSWERED, 400);
-        second.onPeerPrefixes(first.takeNewLocations());
+        second.onPeerPrefixLocations(first.takeNewLocations());
 
         assertThat(send(second, turn("line", 3_500))).isEqualTo(endpoint);
     }
@@ -106,7 +106,7 @@
             String id = "e" + random.nextInt(ENGINES);
             long tokens = 16L * (1 + random.nextInt(37));
             first.started(id);
-            first.generated(id, tokens, (long) (tokens * 1.6));
+            first.recordGeneration(id, tokens, (long) (tokens * 1.6));
             first.finished(run, id, AttemptOutcome.ANSWERED, (long) (tokens * 1.6));
         }
 
@@ -135,7 +135,7 @@
         EndpointTable restarted = table(1_000_000, Policy.allEnabled());
         for (int number = 0; number < ENGINES; number++) {
             RoutingRequest warmUp = routingRequest(List.of(COMMON));
-            first.prompted("e" + number, warmUp, 0);
+            first.recordPrompt("e" + number, warmUp, 0);
         }
         int unchanged = 0;
         for (int line = 0; line < 60; line++) {
@@ -155,7 +155,7 @@
     void emptyEndpointIsNotOverloadedWithPrefill() {
         for (int part = 0; part < 16; part++) {
             for (int number = 1; number < ENGINES; number++) {
-                first.prompted("e" + number, routingRequest(List.of(new PrefixPart("common-" + part, 12_600))), 0);
+                first.recordPrompt("e" + number, routingRequest(List.of(new PrefixPart("common-" + part, 12_600))), 0);
             }
         }
         for (int number = 1; number < ENGINES; number++) {
@@ -178,12 +178,15 @@
      */
     @Test
     void laterTurnIsDistinguishedFromAFirstTurnByItsPrompt() {
-        assertThat(first.mayCache(0, "llm", turn("line", 1_000).prompt())).isFalse();
+        assertThat(first.mayHavePrefixCached(0, "llm", turn("line", 1_000).prompt()))
+                .isFalse();
         send(first, turn("line", 1_000));
-        assertThat(first.mayCache(0, "llm", turn("line", 2_000).prompt())).isTrue();
-        assertThat(first.mayCache(0, "llm", turn("other", 2_000).prompt())).isFalse();
+        assertThat(first.mayHavePrefixCached(0, "llm", turn("line", 2_000).prompt()))
+                .isTrue();
+        assertThat(first.mayHavePrefixCached(0, "llm", turn("other", 2_000).prompt()))
+                .isFalse();
         assertThat(table(1_000_000, Policy.allEnabled())
-                        .mayCache(0, "llm", turn("line", 2_000).prompt()))
+                        .mayHavePrefixCached(0, "llm", turn("line", 2_000).prompt()))
                 .isTrue();
     }
 
@@ -219,7 +222,7 @@
     @Test
     void restartedEndpointHasAnEmptyCache() {
         String endpoint = send(first, turn("line", 2_000));
-        first.registered(0, new Registration(endpoint, "llm", "10.0.0.9:80", "a", 48, false, 0, 2));
+        first.register(0, new Registration(endpoint, "llm", "10.0.0.9:80", "a", 48, false, 0, 2));
 
         assertThat(first.select(0, turn("line", 2_000)).orElseThrow().uncachedTokens())
                 .isEqualTo(14_600);
@@ -232,7 +235,7 @@
     void secondVmLearnsNoLocationsWithoutTheMechanism(Mechanism mechanism) {
         EndpointTable plain = table(1, Policy.without(List.of(mechanism)));
         send(plain, turn("line", 2_000));
-        second.onPeerPrefixes(plain.takeNewLocations());
+        second.onPeerPrefixLocations(plain.takeNewLocations());
 
         Selection selection = second.select(0, turn("line", 2_000)).orElseThrow();
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
@@ -167,7 +167,7 @@
                 received.arrivedMillis(),
                 deadline,
                 new RequestTimeline(gateway.clock(), received.arrivedMillis()),
-                gateway.endpoints().mayCache(gateway.clock().now(), service.name(), request.prefixParts()));
+                gateway.endpoints().mayHavePrefixCached(gateway.clock().now(), service.name(), request.prefixParts()));
         if (gateway.crashes().isQuarantined(admitted)) {
             Refusal refusal =
                     Refusal.notRun(ResultCode.CRASHES_ENDPOINTS, "it was running at three endpoints that crashed");
--- a/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
@@ -180,7 +180,7 @@
         attemptCount++;
         excluded.add(endpoint.id());
         gateway.endpoints().started(endpoint.id());
-        gateway.endpoints().prompted(endpoint.id(), request, selection.uncachedTokens());
+        gateway.endpoints().recordPrompt(endpoint.id(), request, selection.uncachedTokens());
         prefillDone = false;
         startHeadersTimeout();
         call = gateway.http()
@@ -197,7 +197,8 @@
                 Math.max(1, (long) (HEADERS_TIMEOUT_TARGETS * admitted.route().targetLatencyMillis()));
         headersTimeout = gateway.executor()
                 .schedule(
-                        () -> gateway.endpoints().silent(gateway.clock().now(), id),
+                        () -> gateway.endpoints()
+                                .markUnresponsive(gateway.clock().now(), id),
                         timeoutMillis,
                         TimeUnit.MILLISECONDS);
     }
@@ -291,7 +292,7 @@
     void markPrefillDone() {
         if (!prefillDone) {
             prefillDone = true;
-            gateway.endpoints().prefillDone(endpoint.id(), selection.uncachedTokens());
+            gateway.endpoints().recordPrefillDone(endpoint.id(), selection.uncachedTokens());
         }
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/GenerationMeter.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/GenerationMeter.java
@@ -30,6 +30,6 @@
     void onEnd(EndpointCall call) {
         long tokens = Math.max(0, events - 1) * tokensPerEvent;
         long tookMillis = gateway.clock().now() - firstEventMillis;
-        call.endpoint().ifPresent(endpoint -> gateway.endpoints().generated(endpoint.id(), tokens, tookMillis));
+        call.endpoint().ifPresent(endpoint -> gateway.endpoints().recordGeneration(endpoint.id(), tokens, tookMillis));
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/LoadBroadcast.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/LoadBroadcast.java
@@ -108,9 +108,9 @@
     }
 
     private EndpointLoads loads(long now) {
-        EndpointLoads loads = new EndpointLoads(endpoints.running(), storeAgeMillis.getAsLong());
-        loads.setFailing(endpoints.failing(now));
-        loads.setUnread(endpoints.unread());
+        EndpointLoads loads = new EndpointLoads(endpoints.requestsInFlight(), storeAgeMillis.getAsLong());
+        loads.setFailing(endpoints.failureRates(now));
+        loads.setUnread(endpoints.prefillBacklog());
         return loads;
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/PeerConnections.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/PeerConnections.java
@@ -239,7 +239,7 @@
         if (loads.isSetUnread()) {
             endpoints.onPeerPrefillBacklog(vm, loads.getUnread());
         }
-        endpoints.onPeerPrefixes(LoadBroadcast.locations(loads));
+        endpoints.onPeerPrefixLocations(LoadBroadcast.locations(loads));
         storeContacts.onReport(vm, peer.dataCentre(), loads.getProofAgeMillis());
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/RegistrationFollower.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/RegistrationFollower.java
@@ -83,7 +83,7 @@
     }
 
     void start() {
-        endpoints.sweep(clock.now());
+        endpoints.removeDue(clock.now());
         if (next < 0) {
             readAll("", new HashSet<>());
         } else {
@@ -169,7 +169,7 @@
             return;
         }
         logIfChanged(registration.get());
-        endpoints.registered(clock.now(), registration.get());
+        endpoints.register(clock.now(), registration.get());
     }
 
     private void logIfChanged(Registration registration) {
@@ -194,9 +194,9 @@
         boolean deferred = now < deferRemovalsUntilMillis;
         log.write(log.event("endpoint-gone").put("id", id).put("held", deferred));
         if (deferred) {
-            endpoints.removedAt(id, deferRemovalsUntilMillis);
+            endpoints.scheduleRemoval(id, deferRemovalsUntilMillis);
         } else {
-            endpoints.removed(id);
+            endpoints.remove(id);
         }
     }
 }
