--- a/core/src/main/java/org/quetzalshunt/core/routing/AttemptOutcome.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/AttemptOutcome.java
@@ -20,7 +20,7 @@
      *
      * @param firstEventSeen whether the endpoint had sent the first event of its answer
      */
-    public static AttemptOutcome ofLate(boolean firstEventSeen) {
+    public static AttemptOutcome ofTimeout(boolean firstEventSeen) {
         return firstEventSeen ? ERRORED : NEUTRAL;
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/BufferedForwarder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/BufferedForwarder.java
@@ -134,7 +134,7 @@
 
     private void onDeadline() {
         boolean mayHaveRun = call.isRunning() || attempts > 1;
-        call.cancel(AttemptOutcome.ofLate(headers != null));
+        call.cancel(AttemptOutcome.ofTimeout(headers != null));
         refuse(
                 mayHaveRun
                         ? Refusal.withExecution(
--- a/server/src/main/java/org/quetzalshunt/server/gateway/StreamForwarder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/StreamForwarder.java
@@ -297,7 +297,7 @@
     private void onDeadline() {
         boolean mayHaveRun = (call != null && call.isRunning()) || answerEnded;
         if (call != null) {
-            call.cancel(AttemptOutcome.ofLate(headers != null));
+            call.cancel(AttemptOutcome.ofTimeout(headers != null));
         }
         fail(
                 mayHaveRun
