--- a/core/src/main/java/org/quetzalshunt/core/routing/BroadcastInterval.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/BroadcastInterval.java
@@ -10,13 +10,13 @@
  */
 public final class BroadcastInterval {
     /** A peer that sends nothing for this long is treated as dead. */
-    public static final long SILENCE_MILLIS = 1_600;
+    public static final long PEER_TIMEOUT_MILLIS = 1_600;
 
     /** About the duration of a turn: an older report no longer reflects the requests in flight. */
     private static final long MINIMUM_MILLIS = 250;
 
     /** Allows for two late or lost messages before a peer is treated as dead. */
-    private static final long MAXIMUM_MILLIS = SILENCE_MILLIS / 3;
+    private static final long MAXIMUM_MILLIS = PEER_TIMEOUT_MILLIS / 3;
 
     /** Messages per second to all peers in other data centres, unless {@link #MAXIMUM_MILLIS} requires more. */
     private static final int REMOTE_MESSAGES_PER_SECOND = 80;
--- a/core/src/test/java/org/quetzalshunt/core/routing/BroadcastIntervalTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/BroadcastIntervalTest.java
@@ -13,7 +13,7 @@
     void threeMessagesFitIntoThePeerTimeoutAtAnyFleetSize(int vms) {
         for (boolean sameDataCentre : new boolean[] {true, false}) {
             assertThat(3 * BroadcastInterval.millis(sameDataCentre, vms - 1))
-                    .isAtMost(BroadcastInterval.SILENCE_MILLIS);
+                    .isAtMost(BroadcastInterval.PEER_TIMEOUT_MILLIS);
         }
     }
 
