--- a/core/src/main/java/org/quetzalshunt/core/routing/EndpointRows.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EndpointRows.java
@@ -32,7 +32,7 @@
             rowsOf(row.registration.service()).remove(row);
             rowsOf(registration.service()).add(row);
         }
-        if (row.registration.bornMillis() != registration.bornMillis()) {
+        if (row.registration.startedMillis() != registration.startedMillis()) {
             row.resetAfterRestart();
         }
         row.registration = registration;
--- a/core/src/main/java/org/quetzalshunt/core/routing/PrefixPlacement.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/PrefixPlacement.java
@@ -72,7 +72,7 @@
         if (assumedUntilMillis == Long.MAX_VALUE) {
             assumedUntilMillis = nowMillis + ASSUMPTION_MILLIS;
         }
-        long endpointStartedMillis = row.registration.bornMillis();
+        long endpointStartedMillis = row.registration.startedMillis();
         return nowMillis < assumedUntilMillis
                 && endpointStartedMillis > 0
                 && endpointStartedMillis < startedMillis - WARM_AGE_MILLIS;
--- a/core/src/main/java/org/quetzalshunt/core/routing/Registration.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/Registration.java
@@ -10,7 +10,7 @@
  * @param slots number of requests that it processes concurrently
  * @param leaving whether it is shutting down and accepts no new work
  * @param coldMillis remaining time in which it accepts only a few requests per second; 0 when it is warm
- * @param bornMillis when its process started, in Unix milliseconds; distinguishes restarts under the same id
+ * @param startedMillis when its process started, in Unix milliseconds; distinguishes restarts under the same id
  */
 public record Registration(
         String id,
@@ -20,13 +20,13 @@
         int slots,
         boolean leaving,
         long coldMillis,
-        long bornMillis) {
+        long startedMillis) {
     /** Whether two registrations are equal except for the remaining time of a cold endpoint. */
-    public boolean sameAs(Registration other) {
+    public boolean equalsExceptColdTime(Registration other) {
         return (coldMillis > 0) == (other.coldMillis > 0) && withCold(0).equals(other.withCold(0));
     }
 
     private Registration withCold(long millis) {
-        return new Registration(id, service, address, dataCentre, slots, leaving, millis, bornMillis);
+        return new Registration(id, service, address, dataCentre, slots, leaving, millis, startedMillis);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/RegistrationFollower.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/RegistrationFollower.java
@@ -174,7 +174,7 @@
 
     private void logIfChanged(Registration registration) {
         Optional<Registration> previous = endpoints.find(registration.id());
-        if (previous.filter(registration::sameAs).isPresent()) {
+        if (previous.filter(registration::equalsExceptColdTime).isPresent()) {
             return;
         }
         log.write(log.event("endpoint")
@@ -183,7 +183,9 @@
                 .put("address", registration.address())
                 .put("leaving", registration.leaving())
                 .put("coldMillis", registration.coldMillis())
-                .put("restarted", previous.isPresent() && previous.get().bornMillis() != registration.bornMillis()));
+                .put(
+                        "restarted",
+                        previous.isPresent() && previous.get().startedMillis() != registration.startedMillis()));
     }
 
     private void remove(String id) {
