--- a/core/src/main/java/org/quetzalshunt/core/decision/Scheduler.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/Scheduler.java
@@ -65,7 +65,7 @@
      * Sets the number of entries that share the endpoints, this one included, from the list of VMs. With too low a
      * number each entry uses part of the capacity of the others, with too high a number capacity stays idle.
      */
-    public void entriesChanged(int newEntries) {
+    public void setEntryCount(int newEntries) {
         entries = Math.max(1, newEntries);
         for (ServiceLoad service : serviceList) {
             service.endpoints().setEntries(entries);
@@ -165,7 +165,7 @@
     }
 
     /** The endpoint that ran the program's last turn and may still have its prefix in its cache. */
-    public Optional<String> cachedAt(String cacheKey) {
+    public Optional<String> prefixEndpoint(String cacheKey) {
         return prefixLocations.find(cacheKey).map(CachePlaces.Location::endpoint);
     }
 
--- a/core/src/test/java/org/quetzalshunt/core/decision/RulesTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/decision/RulesTest.java
@@ -186,7 +186,7 @@
     @EnumSource(Rule.class)
     void entriesShareTheFreeCapacityOfAReport(Rule rule) {
         Scheduler scheduler = scheduler(Policy.standard());
-        scheduler.entriesChanged(rule == Rule.ENABLED ? 4 : 1);
+        scheduler.setEntryCount(rule == Rule.ENABLED ? 4 : 1);
         report(scheduler, "engine-1", 32);
         for (int number = 0; number < 40; number++) {
             scheduler.offer(1, item("school", "program-" + number, 1, 100), 0);
--- a/core/src/test/java/org/quetzalshunt/core/decision/SchedulerTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/decision/SchedulerTest.java
@@ -24,9 +24,9 @@
 
         scheduler.finished(1_000, 1, Finish.ok(100, 0, 50, 100, 1_000));
         assertThat(scheduler.running()).isEqualTo(0);
-        assertThat(scheduler.cachedAt("program-1")).hasValue("engine-1");
+        assertThat(scheduler.prefixEndpoint("program-1")).hasValue("engine-1");
         scheduler.cacheForgotten("program-1");
-        assertThat(scheduler.cachedAt("program-1")).isEmpty();
+        assertThat(scheduler.prefixEndpoint("program-1")).isEmpty();
     }
 
     @Test
--- a/server/src/main/java/org/quetzalshunt/server/entry/CacheLeaseRenewer.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/CacheLeaseRenewer.java
@@ -43,7 +43,7 @@
         Map<String, List<String>> programsByEndpoint = new HashMap<>();
         for (ProgramView program : shard.programs()) {
             if (program.endedCode().isEmpty()) {
-                scheduler.cachedAt(program.id()).ifPresent(endpoint -> programsByEndpoint
+                scheduler.prefixEndpoint(program.id()).ifPresent(endpoint -> programsByEndpoint
                         .computeIfAbsent(endpoint, ignored -> new ArrayList<>())
                         .add(program.id()));
             }
@@ -59,7 +59,7 @@
             return;
         }
         scheduler
-                .cachedAt(program)
+                .prefixEndpoint(program)
                 .flatMap(attempts::link)
                 .ifPresent(link ->
                         link.send(Message.cacheRelease(new CacheRelease(shard.number(), shard.epoch(), program))));
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryProcess.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryProcess.java
@@ -196,7 +196,7 @@
         membership.onVmList(clock.now(), vms);
         workDispatcher
                 .scheduler()
-                .entriesChanged(Math.max(1, membership.liveEntries().size()));
+                .setEntryCount(Math.max(1, membership.liveEntries().size()));
         joinPeriod.onVmListRead();
         connector.want(peers.wantedAddresses());
     }
--- a/server/src/main/java/org/quetzalshunt/server/entry/OwnerContext.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/OwnerContext.java
@@ -51,7 +51,7 @@
     void releaseFormerCache(String program, String endpoint) {
         boolean isMoved = workDispatcher
                 .scheduler()
-                .cachedAt(program)
+                .prefixEndpoint(program)
                 .filter(former -> !former.equals(endpoint))
                 .isPresent();
         if (isMoved) {
