--- a/core/src/main/java/org/quetzalshunt/core/quota/QuotaLeases.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/QuotaLeases.java
@@ -91,7 +91,7 @@
      * Starts to acquire or release shares where this VM's ownership has changed. Must be called after each read of
      * heartbeats.
      */
-    public void settle() {
+    public void reconcile() {
         List<String> members = new ArrayList<>(peers.members().keySet());
         members.add(self);
         members.sort(null);
@@ -257,7 +257,7 @@
     }
 
     /** Whether this VM's lease is in force and it holds exactly the shares that it should own. */
-    public boolean settled() {
+    public boolean isSettled() {
         return lease.inForce(clock.getAsLong()) && accounts.keySet().stream().allMatch(this::isSettled);
     }
 
--- a/core/src/test/java/org/quetzalshunt/core/quota/QuotaFleetSimulation.java
+++ b/core/src/test/java/org/quetzalshunt/core/quota/QuotaFleetSimulation.java
@@ -108,10 +108,10 @@
                         peers.onSnapshot(clock());
                     }
                     peers.onReadComplete(sent);
-                    leases.settle();
+                    leases.reconcile();
                     renew(processIncarnation);
                 });
-                boolean settled = lease.inForce(clock()) && leases.settled();
+                boolean settled = lease.inForce(clock()) && leases.isSettled();
                 at(now + RenewalInterval.nextMillis(settled), () -> pollHeartbeats(processIncarnation));
             });
         }
@@ -128,7 +128,7 @@
                 if (acknowledged.isPresent()) {
                     lease.renewed(clock(), sent, heartbeat);
                     if (heartbeat.epoch() > VmLease.FIRST_EPOCH) {
-                        leases.settle();
+                        leases.reconcile();
                     }
                 }
             });
--- a/server/src/main/java/org/quetzalshunt/server/gateway/QuotaManager.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/QuotaManager.java
@@ -64,7 +64,7 @@
         if (stopping) {
             return;
         }
-        leases.settle();
+        leases.reconcile();
         links.setPeers(peers.members());
     }
 
@@ -76,7 +76,7 @@
                 .forEach(account ->
                         quotas.put(account.name(), new QuotaTerms(account.ratePerSecond(), account.burst())));
         leases.setAccounts(quotas);
-        leases.settle();
+        leases.reconcile();
     }
 
     /**
@@ -118,7 +118,7 @@
 
     /** Whether this VM holds all shares that it should own. */
     boolean isSettled() {
-        return leases.settled();
+        return leases.isSettled();
     }
 
     /** Whether some VM that may hold a share of the account can be asked. */
