--- a/core/src/main/java/org/quetzalshunt/core/quota/VmLease.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/VmLease.java
@@ -44,7 +44,7 @@
     /** The current term. If the lease has expired, this begins a new term. */
     public LeaseTerm term(long nowMillis) {
         if (renewedMillis != NEVER && !inForce(nowMillis)) {
-            lapse();
+            expire();
         }
         return new LeaseTerm(incarnation, epoch);
     }
@@ -63,20 +63,20 @@
     /**
      * Ends the lease and creates the heartbeat of a graceful shutdown, on which peers may take over all shares at once.
      */
-    public VmHeartbeat lastHeartbeat() {
-        lapse();
+    public VmHeartbeat endWithFinalHeartbeat() {
+        expire();
         return new VmHeartbeat(incarnation, epoch, ++sequence, linkAddress, true);
     }
 
     /** Handles the store's acknowledgement of a heartbeat. */
-    public void renewed(long nowMillis, long sentMillis, VmHeartbeat heartbeat) {
+    public void onRenewalAcknowledged(long nowMillis, long sentMillis, VmHeartbeat heartbeat) {
         if (term(nowMillis).epoch() == heartbeat.epoch()) {
             renewedMillis = Math.max(renewedMillis, sentMillis);
         }
     }
 
     /** Ends the lease at once, for example after a pause of the process of unknown length. */
-    public void lapse() {
+    public void expire() {
         epoch++;
         renewedMillis = NEVER;
     }
--- a/core/src/test/java/org/quetzalshunt/core/quota/QuotaFleetSimulation.java
+++ b/core/src/test/java/org/quetzalshunt/core/quota/QuotaFleetSimulation.java
@@ -78,7 +78,7 @@
                 return;
             }
             stopping = true;
-            VmHeartbeat last = lease.lastHeartbeat();
+            VmHeartbeat last = lease.endWithFinalHeartbeat();
             callStore(this, incarnation, () -> appendHeartbeat(name, last), false, acknowledged -> {});
         }
 
@@ -126,7 +126,7 @@
             callStore(this, processIncarnation, () -> appendHeartbeat(name, heartbeat), false, acknowledged -> {
                 sending = false;
                 if (acknowledged.isPresent()) {
-                    lease.renewed(clock(), sent, heartbeat);
+                    lease.onRenewalAcknowledged(clock(), sent, heartbeat);
                     if (heartbeat.epoch() > VmLease.FIRST_EPOCH) {
                         leases.reconcile();
                     }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/FleetFollower.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/FleetFollower.java
@@ -97,7 +97,7 @@
     /** Ends this VM's lease, so that its peers take over its shares at once. */
     void stop() {
         stopping = true;
-        append(List.of(entry(lease.lastHeartbeat())), OptionalLong.empty(), answer -> {});
+        append(List.of(entry(lease.endWithFinalHeartbeat())), OptionalLong.empty(), answer -> {});
     }
 
     private void startRound() {
@@ -223,7 +223,7 @@
     }
 
     private void onHeartbeatStored(long sentMillis, VmHeartbeat heartbeat) {
-        lease.renewed(clock.now(), sentMillis, heartbeat);
+        lease.onRenewalAcknowledged(clock.now(), sentMillis, heartbeat);
         logLeaseChange();
         // A new process reads the heartbeats of its peers first, so that of many that start at once, none claims all
         // quota shares.
--- a/server/src/main/java/org/quetzalshunt/server/gateway/QuotaManager.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/QuotaManager.java
@@ -145,7 +145,7 @@
 
     /** Ends the lease, after a pause of the process of unknown length. */
     void endLease() {
-        lease.lapse();
+        lease.expire();
     }
 
     /** Stops granting tokens from this VM's shares. */
