--- a/core/src/main/java/org/quetzalshunt/core/quota/TokenSearch.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/TokenSearch.java
@@ -20,7 +20,7 @@
         record Granted(long waitMillis) implements Result {}
 
         /** The account is over its quota. The shortest wait for a token of any holder would have been this long. */
-        record OverQuota(long shortestMillis) implements Result {}
+        record OverQuota(long shortestWaitMillis) implements Result {}
 
         /** No VM that holds a share of the quota answered, so it is unknown whether the account is within its quota. */
         record NoHolder() implements Result {}
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
@@ -211,7 +211,7 @@
             if (result instanceof TokenSearch.Result.Granted granted) {
                 runAfter(granted.waitMillis(), admitted);
             } else if (result instanceof TokenSearch.Result.OverQuota overQuota) {
-                refuseOverQuota(admitted, account, overQuota.shortestMillis());
+                refuseOverQuota(admitted, account, overQuota.shortestWaitMillis());
             } else {
                 refuseNoHolder(received, admitted);
             }
@@ -265,13 +265,13 @@
         ResultReporter.refuse(gateway, admitted, refusal, Optional.empty());
     }
 
-    private void refuseOverQuota(AdmittedRequest admitted, AccountConfiguration account, long shortestMillis) {
+    private void refuseOverQuota(AdmittedRequest admitted, AccountConfiguration account, long shortestWaitMillis) {
         boolean delayedStart =
                 gateway.settings().policy().isEnabled(Mechanism.PROGRAM_START_DELAY) && admitted.beginsProgram();
         long left = admitted.deadlineMillis() - gateway.clock().now();
         double chance = ThreadLocalRandom.current().nextDouble();
         long wait = QuotaWaitPolicy.retryAfterMillis(delayedStart, account.ratePerSecond(), left, chance);
-        String detail = "rate " + account.ratePerSecond() + ", token in " + shortestMillis + " ms";
+        String detail = "rate " + account.ratePerSecond() + ", token in " + shortestWaitMillis + " ms";
         Refusal refusal = Refusal.notRunRetryAfter(ResultCode.RATE_EXCEEDED, detail, wait);
         ResultReporter.refuse(gateway, admitted, refusal, Optional.empty());
     }
