--- a/core/src/main/java/org/quetzalshunt/core/limit/FleetLimits.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/FleetLimits.java
@@ -82,7 +82,7 @@
      * Removes an account. Its bucket stays with rate and burst zero, so that adding the account again cannot grant its
      * tokens twice.
      */
-    public void removed(long nowMillis, String service, String account, long version) {
+    public void removeAccount(long nowMillis, String service, String account, long version) {
         documentChanged(nowMillis, service, account, 0, 0, version);
     }
 
@@ -316,13 +316,13 @@
     }
 
     /** Starts a graceful shutdown: every part goes to live peers, including parts that arrive later. */
-    public void leaving(long nowMillis) {
+    public void startLeaving(long nowMillis) {
         mover.startLeaving();
         tick(nowMillis);
     }
 
     /** Whether an entry that is shutting down has transferred all of its parts and received all acknowledgements. */
-    public boolean handedOver() {
+    public boolean isHandoverComplete() {
         return mover.pendingTransfers() == 0
                 && table.buckets().stream().allMatch(bucket -> bucket.parts() == 0 && bucket.waiting.isEmpty());
     }
--- a/core/src/test/java/org/quetzalshunt/core/limit/FleetLimitsFailureTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/limit/FleetLimitsFailureTest.java
@@ -142,9 +142,9 @@
         TestFleet fleet = TestFleet.started(5, 3, RATE, BURST);
         overload(fleet, 2_000);
         TestFleet.Node leavingNode = fleet.node(1);
-        leavingNode.limits.leaving(leavingNode.local());
+        leavingNode.limits.startLeaving(leavingNode.local());
         trafficToEither(fleet, 500, OVERLOAD, 0, 2);
-        boolean handedOver = leavingNode.limits.handedOver();
+        boolean handedOver = leavingNode.limits.isHandoverComplete();
         leavingNode.crash();
         int before = fleet.windows.count();
         trafficToEither(fleet, 4_000, OVERLOAD, 0, 2);
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryProcess.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryProcess.java
@@ -285,7 +285,7 @@
                 && owner.callRuns().isEmpty()
                 && router.forwardedRequests() == 0
                 && router.waitingRequests() == 0
-                && (rateLimiter.limits().handedOver()
+                && (rateLimiter.limits().isHandoverComplete()
                         || membership.liveEntries().size() <= 1);
         if (idle || clock.now() > stopDeadlineMillis) {
             Logger.info("stopped, all requests and handovers finished: {}", idle);
--- a/server/src/main/java/org/quetzalshunt/server/entry/FleetRateLimiter.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/FleetRateLimiter.java
@@ -80,7 +80,7 @@
         }
         for (AccountKey removed : Set.copyOf(knownAccounts)) {
             if (!present.contains(removed)) {
-                limits.removed(
+                limits.removeAccount(
                         clock.now(),
                         removed.service(),
                         removed.account(),
@@ -120,7 +120,7 @@
     }
 
     void leave() {
-        limits.leaving(clock.now());
+        limits.startLeaving(clock.now());
     }
 
     /** Whether this entry may use tokens. Until then it would refuse requests that are within their rate. */
