--- a/core/src/main/java/org/quetzalshunt/core/membership/GossipSchedule.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/GossipSchedule.java
@@ -65,7 +65,7 @@
         List<HeartbeatNews> news = new ArrayList<>();
         for (Peer peer : candidates.subList(0, Math.min(settings.digestEntries(), candidates.size()))) {
             peer.timesForwarded++;
-            news.add(peer.toNews());
+            news.add(peer.toHeartbeat());
         }
         return news;
     }
--- a/core/src/main/java/org/quetzalshunt/core/membership/Membership.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/Membership.java
@@ -238,7 +238,7 @@
 
     /** The state of this VM, which comes first in a heartbeat. */
     public HeartbeatNews ownNews() {
-        return own.toNews();
+        return own.toHeartbeat();
     }
 
     /** The heartbeats of other entries to forward to one target, those forwarded least often first. */
--- a/core/src/main/java/org/quetzalshunt/core/membership/Peer.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/Peer.java
@@ -54,7 +54,7 @@
                 ownedShards);
     }
 
-    HeartbeatNews toNews() {
+    HeartbeatNews toHeartbeat() {
         return new HeartbeatNews(
                 vm.name(),
                 incarnation,
