--- a/core/src/main/java/org/quetzalshunt/core/membership/Member.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/Member.java
@@ -11,7 +11,7 @@
  * @param vm its entry in the platform's list
  * @param alive whether a heartbeat of it was received, directly or forwarded, within the timeout
  * @param leaving whether the VM itself or the platform's list announced its shutdown
- * @param lastHeardMillis when its last heartbeat was received, by this VM's clock
+ * @param lastHeartbeatMillis when its last heartbeat was received, by this VM's clock
  * @param configurationNext offset of the first configuration record that it has not read
  * @param configurationAgeMillis how long before that heartbeat it last read the configuration stream to its end
  * @param ownedShards shards that it announced to own
@@ -21,7 +21,7 @@
         Vm vm,
         boolean alive,
         boolean leaving,
-        long lastHeardMillis,
+        long lastHeartbeatMillis,
         long configurationNext,
         long configurationAgeMillis,
         List<Integer> ownedShards) {}
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryDump.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryDump.java
@@ -92,7 +92,7 @@
             node.put("alive", member.alive());
             node.put("leaving", member.leaving());
             node.put("configurationNext", member.configurationNext());
-            node.put("lastHeardMillisAgo", clock.now() - member.lastHeardMillis());
+            node.put("lastHeardMillisAgo", clock.now() - member.lastHeartbeatMillis());
             ArrayNode owned = node.putArray("ownedShards");
             member.ownedShards().forEach(owned::add);
         }
