--- a/core/src/main/java/org/quetzalshunt/core/membership/Membership.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/Membership.java
@@ -148,7 +148,7 @@
     }
 
     /** Sets the state that this VM announces in its heartbeats from now on. */
-    public void describeSelf(
+    public void announceState(
             long configurationNext, long configurationAgeMillis, boolean leaving, List<Integer> ownedShards) {
         boolean changed = own.announcedLeaving != leaving || !own.ownedShards.equals(ownedShards);
         own.configurationNext = configurationNext;
@@ -247,7 +247,7 @@
     }
 
     /** The entry that should claim a shard, by rendezvous hashing over the live entries that are not leaving. */
-    public Optional<String> candidate(int shard) {
+    public Optional<String> preferredOwner(int shard) {
         List<String> names = entryPeers().stream()
                 .filter(peer -> peer.alive && !peer.leaving())
                 .map(peer -> peer.vm.name())
--- a/core/src/test/java/org/quetzalshunt/core/membership/MembershipTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/membership/MembershipTest.java
@@ -70,7 +70,7 @@
 
         assertThat(member("entry-1").leaving()).isTrue();
         assertThat(IntStream.range(0, 64)
-                        .mapToObj(shard -> membership.candidate(shard).orElseThrow())
+                        .mapToObj(shard -> membership.preferredOwner(shard).orElseThrow())
                         .toList())
                 .doesNotContain("entry-1");
     }
--- a/server/src/main/java/org/quetzalshunt/server/entry/Peers.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/Peers.java
@@ -85,7 +85,7 @@
      */
     void tick(Map<String, PeerLink> sidecars, List<Integer> ownedShards, boolean leaving) {
         long now = clock.now();
-        membership.describeSelf(
+        membership.announceState(
                 configurationStream.configuration().next(),
                 configurationStream.freshness().ageMillis(now),
                 leaving,
--- a/server/src/main/java/org/quetzalshunt/server/entry/ShardManager.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ShardManager.java
@@ -156,7 +156,7 @@
             managed.session.follow(now);
             return;
         }
-        Optional<String> candidate = membership.candidate(managed.shard.number());
+        Optional<String> candidate = membership.preferredOwner(managed.shard.number());
         boolean belongsElsewhere =
                 leaving || candidate.filter(name -> !name.equals(self.name())).isPresent();
         if (!belongsElsewhere) {
@@ -181,7 +181,7 @@
         int number = managed.shard.number();
         boolean isCandidate = !leaving
                 && joinPeriod.isOver()
-                && membership.candidate(number).filter(self.name()::equals).isPresent();
+                && membership.preferredOwner(number).filter(self.name()::equals).isPresent();
         if (!isCandidate || managed.decisionPending || liveOwner(number).isPresent()) {
             managed.vacantSinceMillis = 0;
             return;
