--- a/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
@@ -54,7 +54,7 @@
         next = Math.max(next, offset);
         Optional<ConfigurationChange> change = reader.read(record);
         if (change.isEmpty()) {
-            malformed(offset);
+            onMalformedEntry(offset);
             return;
         }
         if (change.get() instanceof CheckpointChange checkpoint) {
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public void malformed(long offset) {
+    public void onMalformedEntry(long offset) {
         invalidRecords++;
         if (invalidOffsets.size() == MAXIMUM_INVALID_OFFSETS) {
             invalidOffsets.remove(0);
@@ -207,7 +207,7 @@
     private void applyCheckpoint(long offset, CheckpointChange change) {
         // A checkpoint can only cover offsets before its own; anything else comes from a faulty writer.
         if (change.coversBelow() > offset) {
-            malformed(offset);
+            onMalformedEntry(offset);
             return;
         }
         Optional<byte[]> encoded =
@@ -217,7 +217,7 @@
         }
         Optional<ConfigurationState> decoded = CheckpointCodec.decode(encoded.get(), reader);
         if (decoded.isEmpty()) {
-            malformed(offset);
+            onMalformedEntry(offset);
             return;
         }
         lastCheckpointCoversBelow = Math.max(lastCheckpointCoversBelow, change.coversBelow());
--- a/core/src/main/java/org/quetzalshunt/core/log/LogFold.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/LogFold.java
@@ -20,7 +20,7 @@
     void gap(long firstKept);
 
     /** The entry at an offset is not a valid batch and was skipped. */
-    default void malformed(long offset) {}
+    default void onMalformedEntry(long offset) {}
 
     /** All offsets below a position were applied or skipped. Called after the last record of each offset. */
     default void foldedBelow(long position) {}
--- a/core/src/main/java/org/quetzalshunt/core/log/StreamSession.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/StreamSession.java
@@ -297,7 +297,7 @@
     private void applyEntry(LogEntry entry) {
         Optional<Batch> batch = BatchFrame.decode(entry.data());
         if (batch.isEmpty()) {
-            fold.malformed(entry.offset());
+            fold.onMalformedEntry(entry.offset());
             return;
         }
         applyBatch(entry.offset(), batch.get());
--- a/core/src/test/java/org/quetzalshunt/core/log/RecordingFold.java
+++ b/core/src/test/java/org/quetzalshunt/core/log/RecordingFold.java
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public void malformed(long offset) {
+    public void onMalformedEntry(long offset) {
         malformed.add(offset);
     }
 }
