--- a/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointPublisher.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointPublisher.java
@@ -47,8 +47,8 @@
 
     /** Publishes a checkpoint if one is due, the state is complete and no earlier one is still being appended. */
     public void tick(long nowMillis) {
-        boolean upToDate = configuration.complete() && session.caughtUp();
-        if (!upToDate || session.next() == 0 || pendingParts > 0) {
+        boolean upToDate = configuration.complete() && session.isCaughtUp();
+        if (!upToDate || session.nextOffset() == 0 || pendingParts > 0) {
             return;
         }
         if (schedule.isDue(nowMillis, configuration.lastCheckpointCoversBelow(), session.firstKept())) {
--- a/core/src/main/java/org/quetzalshunt/core/log/StreamSession.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/StreamSession.java
@@ -160,19 +160,21 @@
         startDueCalls(nowMillis);
     }
 
-    /** Requests a read to the end of the stream that starts from now on. {@link #caughtUp} is true once it is done. */
-    public void follow(long nowMillis) {
+    /**
+     * Requests a read to the end of the stream that starts from now on. {@link #isCaughtUp} is true once it is done.
+     */
+    public void requestReadToEnd(long nowMillis) {
         requestedReadSerial++;
         startDueCalls(nowMillis);
     }
 
-    /** Whether the stream was read to its end since the last {@link #follow}, or at all if there was none. */
-    public boolean caughtUp() {
+    /** Whether the stream was read to its end since the last {@link #requestReadToEnd}, or at all if there was none. */
+    public boolean isCaughtUp() {
         return completedReadSerial >= requestedReadSerial;
     }
 
     /** Offset that is applied next. */
-    public long next() {
+    public long nextOffset() {
         return nextOffset;
     }
 
@@ -182,7 +184,7 @@
     }
 
     /** Number of submitted records whose outcome has not been reported. */
-    public int backlog() {
+    public int backlogRecords() {
         return backlog.records();
     }
 
@@ -197,7 +199,7 @@
     }
 
     /** Whether the stream was read to its end at least once and the last append and the last read succeeded. */
-    public boolean available() {
+    public boolean isAvailable() {
         return hasRead && !appendBackoff.isFailing() && !readBackoff.isFailing();
     }
 
--- a/core/src/main/java/org/quetzalshunt/core/log/StreamSettings.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/StreamSettings.java
@@ -5,7 +5,7 @@
  *
  * @param commitIntervalMillis minimum time between the starts of two appends, see {@link CommitInterval}
  * @param tail whether the session reads continuously; otherwise it reads only when that is needed to resolve its own
- *     appends or was requested by {@link StreamSession#follow}
+ *     appends or was requested by {@link StreamSession#requestReadToEnd}
  * @param longPollMillis how long the log may delay its answer to a tailing read while there is no new record
  * @param maximumBatchBytes maximum size of a batch, within the log's limit
  * @param maximumBacklogRecords maximum number of unsettled records, including those in flight
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointPublisher.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointPublisher.java
@@ -46,7 +46,7 @@
             publishedCheckpoints++;
             pendingParts.addAll(shard.checkpointRecords(PART_BYTES));
         }
-        if (!pendingParts.isEmpty() && session.available() && session.backlogBytes() < PART_BYTES) {
+        if (!pendingParts.isEmpty() && session.isAvailable() && session.backlogBytes() < PART_BYTES) {
             session.submit(nowMillis, pendingParts.removeFirst(), submission -> {});
         }
     }
--- a/core/src/test/java/org/quetzalshunt/core/log/StreamSessionRandomTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/log/StreamSessionRandomTest.java
@@ -58,7 +58,7 @@
         log.setOutage(false);
         log.setFaults(0, 0);
         log.run(QUIET_MILLIS, () -> live.forEach(SessionNode::tick));
-        live.forEach(node -> node.session.follow(log.now()));
+        live.forEach(node -> node.session.requestReadToEnd(log.now()));
         log.run(QUIET_MILLIS, () -> live.forEach(SessionNode::tick));
 
         List<String> expected = live.get(0).fold.positions;
@@ -66,7 +66,7 @@
         assertThat(expected.size()).isGreaterThan(1_000);
         for (SessionNode node : live) {
             assertThat(node.fold.positions).isEqualTo(expected);
-            assertThat(node.session.backlog()).isEqualTo(0);
+            assertThat(node.session.backlogRecords()).isEqualTo(0);
             assertThat(node.outcomes.values().stream().allMatch(Submission::isFolded))
                     .isTrue();
             assertReportedOffsetsAreCorrect(node, expected);
--- a/core/src/test/java/org/quetzalshunt/core/log/StreamSessionTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/log/StreamSessionTest.java
@@ -62,7 +62,7 @@
         assertThat(node.fold.positions).isEqualTo(reader.fold.positions);
         assertThat(node.outcomes.values().stream().allMatch(Submission::isFolded))
                 .isTrue();
-        assertThat(node.session.backlog()).isEqualTo(0);
+        assertThat(node.session.backlogRecords()).isEqualTo(0);
     }
 
     /**
@@ -86,7 +86,7 @@
         paused.transport.resume();
         log.run(1_500, paused::tick);
         assertThat(paused.fold.gaps).containsExactly(4L);
-        assertThat(paused.session.next()).isEqualTo(log.next());
+        assertThat(paused.session.nextOffset()).isEqualTo(log.next());
         assertThat(paused.session.firstKept()).isEqualTo(4);
     }
 
@@ -140,25 +140,25 @@
         }
         int callsBefore = log.appends() + log.reads();
         log.run(10_000, node::tick);
-        assertThat(node.session.available()).isFalse();
+        assertThat(node.session.isAvailable()).isFalse();
         assertThat(log.appends() + log.reads() - callsBefore).isAtMost(60);
         log.setOutage(false);
         log.run(5_000, node::tick);
         assertThat(node.fold.records).hasSize(20);
         assertThat(node.outcomes.values().stream().filter(Submission::isFolded)).hasSize(20);
         assertThat(node.outcomes).containsEntry("record 29", Submission.rejectedBacklogFull());
-        assertThat(node.session.available()).isTrue();
+        assertThat(node.session.isAvailable()).isTrue();
     }
 
     @Test
     void followIsSatisfiedOnlyByAReadThatStartsAfterwards() {
         SessionNode node = SessionNode.tailing(log, "a#1");
         log.run(30, node::tick);
-        assertThat(node.session.caughtUp()).isTrue();
-        node.session.follow(log.now());
-        assertThat(node.session.caughtUp()).isFalse();
+        assertThat(node.session.isCaughtUp()).isTrue();
+        node.session.requestReadToEnd(log.now());
+        assertThat(node.session.isCaughtUp()).isFalse();
         log.run(1_100, node::tick);
-        assertThat(node.session.caughtUp()).isTrue();
+        assertThat(node.session.isCaughtUp()).isTrue();
         assertThat(node.session.lastReadMillis().getAsLong()).isLessThan(log.now());
     }
 
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
@@ -66,7 +66,7 @@
 
     /** Reads the stream to its end and claims the shard. */
     void takeOver(Runnable ticks) {
-        session.follow(log.now());
+        session.requestReadToEnd(log.now());
         log.run(60, ticks);
         shard.claim(won -> {});
         log.run(60, ticks);
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardRandomTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardRandomTest.java
@@ -126,9 +126,9 @@
                 return;
             }
             if (random.nextInt(12_000) == 0) {
-                node.session.follow(log.now());
+                node.session.requestReadToEnd(log.now());
             }
-            if (!node.shard.isOwned() && random.nextInt(6_000) == 0 && node.session.caughtUp()) {
+            if (!node.shard.isOwned() && random.nextInt(6_000) == 0 && node.session.isCaughtUp()) {
                 node.shard.claim(won -> {});
             }
             if (node.shard.isOwned()) {
@@ -174,8 +174,8 @@
             liveNodes.forEach(node -> node.transport.resume());
             lateNode = start("late");
             for (int round = 0; round < 2; round++) {
-                liveNodes.forEach(node -> node.session.follow(log.now()));
-                lateNode.session.follow(log.now());
+                liveNodes.forEach(node -> node.session.requestReadToEnd(log.now()));
+                lateNode.session.requestReadToEnd(log.now());
                 log.run(5_000, () -> {
                     liveNodes.forEach(node -> node.session.tick(log.now()));
                     lateNode.session.tick(log.now());
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
@@ -41,7 +41,7 @@
         one.shard.claim(won -> {});
         two.shard.claim(won -> {});
         log.run(60, this::ticks);
-        List.of(one, two).forEach(node -> node.session.follow(log.now()));
+        List.of(one, two).forEach(node -> node.session.requestReadToEnd(log.now()));
         log.run(60, this::ticks);
         assertThat(one.shard.isOwned()).isNotEqualTo(two.shard.isOwned());
         assertThat(one.shard.owner()).isEqualTo(two.shard.owner());
@@ -220,7 +220,7 @@
         other.shard.claim(won -> {});
         log.run(100, both);
         one.transport.resume();
-        List.of(late, other, one).forEach(node -> node.session.follow(log.now()));
+        List.of(late, other, one).forEach(node -> node.session.requestReadToEnd(log.now()));
         log.run(200, () -> List.of(late, other, one).forEach(ShardNode::tick));
         assertThat(List.of(late.shard.isOwned(), other.shard.isOwned())).containsExactly(true, false);
         assertThat(one.shard.isOwned()).isFalse();
@@ -241,7 +241,7 @@
         for (int sweep = 0; sweep < 50; sweep++) {
             one.shard.tick(log.now() + later + sweep * 1_000L);
         }
-        assertThat(one.session.backlog()).isEqualTo(1);
+        assertThat(one.session.backlogRecords()).isEqualTo(1);
     }
 
     /** A turn that is refused because its reservation cannot be recorded must not block later turns of its program. */
@@ -318,11 +318,11 @@
     @Test
     void aReleaseByAProcessThatIsNotTheOwnerIsVoid() {
         one.takeOver(this::ticks);
-        two.session.follow(log.now());
+        two.session.requestReadToEnd(log.now());
         log.run(60, this::ticks);
         two.shard.release(released -> {});
         log.run(100, this::ticks);
-        one.session.follow(log.now());
+        one.session.requestReadToEnd(log.now());
         log.run(100, this::ticks);
         assertThat(one.shard.isOwned()).isTrue();
         assertThat(one.shard.voidRecords()).isEqualTo(1);
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryDump.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryDump.java
@@ -74,10 +74,10 @@
     private static ObjectNode stream(StreamSession session) {
         return Json.object()
                 .put("stream", session.stream())
-                .put("next", session.next())
-                .put("backlog", session.backlog())
-                .put("caughtUp", session.caughtUp())
-                .put("available", session.available());
+                .put("next", session.nextOffset())
+                .put("backlog", session.backlogRecords())
+                .put("caughtUp", session.isCaughtUp())
+                .put("available", session.isAvailable());
     }
 
     /** The entries, with the state known to this entry, and the sidecars in the VM list. */
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryProcess.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryProcess.java
@@ -165,7 +165,7 @@
         return workDispatcher.scheduler().queued() + workDispatcher.scheduler().running() > 0
                 || router.waitingRequests() > 0
                 || shards.hasBacklog()
-                || configurationStream.session().backlog() > 0
+                || configurationStream.session().backlogRecords() > 0
                 || rateLimiter.hasWaitingRequests();
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/entry/ShardManager.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ShardManager.java
@@ -97,7 +97,7 @@
 
     /** Whether records are waiting to be appended. */
     boolean hasBacklog() {
-        return shards.stream().anyMatch(managed -> managed.session.backlog() > 0);
+        return shards.stream().anyMatch(managed -> managed.session.backlogRecords() > 0);
     }
 
     int count() {
@@ -153,7 +153,7 @@
         if (liveOwner(managed.shard.number()).isPresent()) {
             // Another entry reports that it owns the shard: this one was paused during a takeover and has not yet read
             // the claim.
-            managed.session.follow(now);
+            managed.session.requestReadToEnd(now);
             return;
         }
         Optional<String> candidate = membership.preferredOwner(managed.shard.number());
@@ -189,7 +189,7 @@
         if (managed.vacantSinceMillis == 0) {
             managed.vacantSinceMillis = now;
             managed.readBeforeVacantMillis = managed.session.lastReadMillis();
-            managed.session.follow(now);
+            managed.session.requestReadToEnd(now);
             return;
         }
         if (!hasCaughtUpSinceVacant(managed)
@@ -206,7 +206,7 @@
 
     private static boolean hasCaughtUpSinceVacant(ManagedShard managed) {
         OptionalLong read = managed.session.lastReadMillis();
-        return read.isPresent() && !read.equals(managed.readBeforeVacantMillis) && managed.session.caughtUp();
+        return read.isPresent() && !read.equals(managed.readBeforeVacantMillis) && managed.session.isCaughtUp();
     }
 
     private boolean ownerSeemsAlive(ManagedShard managed) {
