--- a/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointPublisher.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointPublisher.java
@@ -47,7 +47,7 @@
 
     /** Publishes a checkpoint if one is due, the state is complete and no earlier one is still being appended. */
     public void tick(long nowMillis) {
-        boolean upToDate = configuration.complete() && session.isCaughtUp();
+        boolean upToDate = configuration.isComplete() && session.isCaughtUp();
         if (!upToDate || session.nextOffset() == 0 || pendingParts > 0) {
             return;
         }
--- a/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
@@ -14,8 +14,8 @@
  * by compare-and-set on its version, which is the offset of its record, so the first valid change wins. Every reader
  * skips and counts the same unreadable records.
  *
- * <p>After a gap the old state is kept, but {@link #complete} is false until a checkpoint that covers the gap has been
- * read. Then the state is replaced by the checkpoint's, and the records from its offset on are applied.
+ * <p>After a gap the old state is kept, but {@link #isComplete} is false until a checkpoint that covers the gap has
+ * been read. Then the state is replaced by the checkpoint's, and the records from its offset on are applied.
  */
 public final class Configuration implements LogFold {
     /**
@@ -135,12 +135,12 @@
     }
 
     /** Offset that is applied next. */
-    public long next() {
+    public long nextOffset() {
         return next;
     }
 
     /** Whether the state reflects every record of the stream. If not, no decision may be based on it. */
-    public boolean complete() {
+    public boolean isComplete() {
         return complete;
     }
 
--- a/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationRandomTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationRandomTest.java
@@ -92,7 +92,7 @@
         });
         assertThat(scenario.log.next()).isGreaterThan(100);
         assertThat(lateNode.session.firstKept()).isGreaterThan(50);
-        assertThat(lateNode.configuration.complete()).isTrue();
+        assertThat(lateNode.configuration.isComplete()).isTrue();
         assertThat(lateNode.configuration.checkpoint()).isEqualTo(complete.checkpoint());
         Set<Long> checkpoints = new HashSet<>();
         scenario.nodes.forEach(node -> checkpoints.add(node.publisher.publishedCheckpoints()));
--- a/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationTest.java
@@ -94,10 +94,10 @@
         log.dropBelow(3);
         paused.transport.resume();
         log.run(20, paused::tick);
-        assertThat(paused.configuration.complete()).isFalse();
+        assertThat(paused.configuration.isComplete()).isFalse();
         running.publishCheckpoint();
         log.run(50, ticks);
-        assertThat(paused.configuration.complete()).isTrue();
+        assertThat(paused.configuration.isComplete()).isTrue();
         assertThat(paused.configuration.authenticate("tutor", hash(KEY))).isEmpty();
         assertThat(paused.configuration.checkpoint()).isEqualTo(running.configuration.checkpoint());
     }
@@ -121,7 +121,7 @@
         for (CheckpointChange part : old) {
             reader.apply(withdrawn + 1, TextRecords.write(part), part.part());
         }
-        assertThat(reader.complete()).isTrue();
+        assertThat(reader.isComplete()).isTrue();
         assertThat(reader.document("tutor").map(VersionedDocument::version)).hasValue(withdrawn);
         assertThat(reader.authenticate("tutor", hash(KEY))).isEmpty();
         assertThat(reader.checkpoint()).isEqualTo(configuration.checkpoint());
@@ -135,7 +135,7 @@
         Configuration late = Configuration.create(TextRecords::read);
         late.gap(2);
         old.forEach(part -> late.apply(3, TextRecords.write(part), part.part()));
-        assertThat(late.complete()).isFalse();
+        assertThat(late.isComplete()).isFalse();
         assertThat(late.documents()).isEmpty();
     }
 
@@ -210,7 +210,7 @@
         for (int part = 0; part < one.size(); part++) {
             late.apply(2, TextRecords.write((part % 2 == 0 ? one : two).get(part)), part);
         }
-        assertThat(late.complete()).isFalse();
+        assertThat(late.isComplete()).isFalse();
         one.forEach(part -> late.apply(3, TextRecords.write(part), part.part()));
         assertThat(late.checkpoint()).isEqualTo(configuration.checkpoint());
     }
--- a/server/src/main/java/org/quetzalshunt/server/entry/ConfigurationStream.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ConfigurationStream.java
@@ -66,11 +66,11 @@
      * outage is no reason to refuse callers.
      */
     boolean isReady() {
-        return configuration.complete() && session.lastReadMillis().isPresent();
+        return configuration.isComplete() && session.lastReadMillis().isPresent();
     }
 
     boolean isFresh() {
-        return freshness.fresh(clock.now(), configuration.next());
+        return freshness.fresh(clock.now(), configuration.nextOffset());
     }
 
     /** Submits a change; the callback receives the result of the submission and the configuration at that time. */
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryDump.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryDump.java
@@ -64,7 +64,7 @@
 
     private ObjectNode configurationNode() {
         ObjectNode node = stream(configurationStream.session());
-        node.put("complete", configurationStream.configuration().complete());
+        node.put("complete", configurationStream.configuration().isComplete());
         node.put("fresh", configurationStream.isFresh());
         node.put("ageMillis", configurationStream.freshness().ageMillis(clock.now()));
         node.put("invalidRecords", configurationStream.configuration().invalidRecords());
--- a/server/src/main/java/org/quetzalshunt/server/entry/Peers.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/Peers.java
@@ -86,7 +86,7 @@
     void tick(Map<String, PeerLink> sidecars, List<Integer> ownedShards, boolean leaving) {
         long now = clock.now();
         membership.announceState(
-                configurationStream.configuration().next(),
+                configurationStream.configuration().nextOffset(),
                 configurationStream.freshness().ageMillis(now),
                 leaving,
                 ownedShards);
