--- a/core/src/main/java/org/quetzalshunt/core/program/Shard.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/Shard.java
@@ -73,7 +73,7 @@
     }
 
     /** Tokens that are reserved for a turn unless it needs more. */
-    public static long usualReservation(ServiceLimits limits) {
+    public static long defaultReservationTokens(ServiceLimits limits) {
         return TurnPlanner.defaultReservationTokens(limits);
     }
 
@@ -155,7 +155,7 @@
     }
 
     /** Whether the state reflects every record of the stream. If not, no decision may be based on it. */
-    public boolean complete() {
+    public boolean isComplete() {
         return !rebuild.isActive();
     }
 
@@ -170,7 +170,7 @@
      * @param maximumPartBytes maximum bytes of state in one part
      */
     public List<byte[]> checkpointRecords(int maximumPartBytes) {
-        if (!complete()) {
+        if (!isComplete()) {
             return List.of();
         }
         List<byte[]> parts = CheckpointParts.split(ShardCheckpointCodec.encode(state), maximumPartBytes);
@@ -301,8 +301,8 @@
      * Charges an attempt that ran but returned no result. The callback gets, once the charge is durable, whether the
      * budget covers another attempt of the turn.
      */
-    public void chargeLostAttempt(TurnStart start, Consumer<Boolean> whenCharged) {
-        turns.chargeLostAttempt(start, whenCharged);
+    public void chargeFailedAttempt(TurnStart start, Consumer<Boolean> whenCharged) {
+        turns.chargeFailedAttempt(start, whenCharged);
     }
 
     /** Ends a turn without a result and without a further charge. */
@@ -311,7 +311,7 @@
     }
 
     /** Removes a waiting turn from its queue; false if the turn is running or unknown. */
-    public boolean withdrawTurn(String program, String requestId) {
+    public boolean cancelWaitingTurn(String program, String requestId) {
         return turns.withdraw(program, requestId);
     }
 
@@ -321,7 +321,7 @@
     }
 
     /** Cancels a call that has not started. It will not run, and a repeated request may run. */
-    public void withdrawCall(CallRequest call) {
+    public void cancelCall(CallRequest call) {
         calls.withdraw(call);
     }
 
@@ -378,7 +378,7 @@
     }
 
     /** Reports gauges: programs, bytes of history, stored results and budget overruns. */
-    public void measure(BiConsumer<String, Long> gauge) {
+    public void reportGauges(BiConsumer<String, Long> gauge) {
         gauge.accept("programs", (long) state.programs().size());
         gauge.accept(
                 "historyBytes",
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnScheduler.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnScheduler.java
@@ -228,7 +228,7 @@
     }
 
     /** Charges the reservation of a failed attempt, so that retries cannot spend more than the program's budget. */
-    void chargeLostAttempt(TurnStart start, Consumer<Boolean> whenCharged) {
+    void chargeFailedAttempt(TurnStart start, Consumer<Boolean> whenCharged) {
         if (start.request().implicitProgram() || !isRunning(start)) {
             whenCharged.accept(start.request().implicitProgram());
             return;
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardRandomTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardRandomTest.java
@@ -51,7 +51,7 @@
         assertThat(callRuns.values().stream().filter(runs -> runs > 1)).isEmpty();
         assertThat(durableTurns.values().stream().mapToInt(List::size).sum()).isGreaterThan(50);
         ShardNode reader = scenario.lateNode;
-        assertThat(reader.shard.complete()).isTrue();
+        assertThat(reader.shard.isComplete()).isTrue();
         durableTurns.forEach((program, turns) -> {
             List<String> numbers = turns.stream()
                     .map(turn -> turn.substring(0, turn.indexOf(' ')))
@@ -61,7 +61,7 @@
             assertThat(view.turns()).isAtLeast(turns.size());
             assertThat(view.spentTokens()).isAtMost(BUDGET);
         });
-        reader.shard.measure((name, value) -> {
+        reader.shard.reportGauges((name, value) -> {
             if (name.equals("overspends")) {
                 assertThat(value).isEqualTo(0);
             }
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
@@ -123,7 +123,7 @@
         log.setOutage(true);
         one.call("lorry", "first");
         log.run(500, this::ticks);
-        one.shard.withdrawCall(ShardNode.callRequest("lorry", "first"));
+        one.shard.cancelCall(ShardNode.callRequest("lorry", "first"));
         log.setOutage(false);
         log.run(10_000, this::ticks);
         assertThat(one.callsStarted).isEmpty();
@@ -196,7 +196,7 @@
         log.dropBelow(1);
         ShardNode late = ShardNode.start(log, codec, "late");
         late.takeOver(late::tick);
-        assertThat(late.shard.complete()).isFalse();
+        assertThat(late.shard.isComplete()).isFalse();
         assertThat(late.shard.isOwned()).isFalse();
         assertThat(late.offer(PROGRAM, "turn")).isInstanceOf(Admission.Refused.class);
     }
@@ -306,7 +306,7 @@
         one.takeOver(this::ticks);
         assertThat(one.shard.isOwned()).isTrue();
         one.end(one.turnsStarted.get(0), 10);
-        one.shard.chargeLostAttempt(
+        one.shard.chargeFailedAttempt(
                 one.turnsStarted.get(0), charged -> assertThat(charged).isFalse());
         log.run(100, this::ticks);
         assertThat(one.durable).containsExactly("of the first epoch", false);
--- a/server/src/main/java/org/quetzalshunt/server/entry/CallRun.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/CallRun.java
@@ -72,7 +72,7 @@
             return;
         }
         done = true;
-        shard.withdrawCall(call.get());
+        shard.cancelCall(call.get());
         sendRefusal(Refusal.notRunRetryAfter(
                 ResultCode.LOG_UNAVAILABLE, "the call's intent could not be written to the log in time", 1_000));
     }
--- a/server/src/main/java/org/quetzalshunt/server/entry/ChatRun.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ChatRun.java
@@ -125,7 +125,7 @@
             shard.failTurn(owner.clock().now(), turn);
             return;
         }
-        shard.chargeLostAttempt(
+        shard.chargeFailedAttempt(
                 turn, withinBudget -> shard.failTurn(owner.clock().now(), turn));
     }
 
@@ -211,7 +211,7 @@
             return;
         }
         mayHaveRun = true;
-        shard.chargeLostAttempt(turnStart.orElseThrow(), withinBudget -> retryOrFail(retry && withinBudget, outcome));
+        shard.chargeFailedAttempt(turnStart.orElseThrow(), withinBudget -> retryOrFail(retry && withinBudget, outcome));
     }
 
     private void retryOrFail(boolean retry, AttemptOutcome outcome) {
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryDump.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryDump.java
@@ -116,7 +116,7 @@
             node.put("owned", shard.isOwned());
             shard.owner().ifPresent(id -> node.put("owner", id.toString()));
             node.put("voidRecords", shard.voidRecords());
-            shard.measure(node::put);
+            shard.reportGauges(node::put);
             node.set("stream", stream(sessions.get(shard.number())));
         }
         return array;
--- a/server/src/main/java/org/quetzalshunt/server/entry/OwnerService.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/OwnerService.java
@@ -91,7 +91,7 @@
         Admission admission = shard.offerTurn(owner.clock().now(), turn);
         if (admission instanceof Admission.Accepted) {
             sink.onClose(() -> {
-                shard.withdrawTurn(turn.program(), request.requestId());
+                shard.cancelWaitingTurn(turn.program(), request.requestId());
                 run.onCallerDisconnected();
             });
             return;
@@ -194,7 +194,7 @@
                 request.clientAccount(),
                 body.parent(),
                 budget,
-                Math.min(budget, Shard.usualReservation(limits)),
+                Math.min(budget, Shard.defaultReservationTokens(limits)),
                 owner.clock().now(),
                 false,
                 request.requestId());
