--- a/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
@@ -96,7 +96,7 @@
 
     /** The current document of a service; empty if there is none or it was removed. */
     public Optional<VersionedDocument> document(String service) {
-        return state.documents().current(service).filter(Predicate.not(VersionedDocument::removed));
+        return state.documents().current(service).filter(Predicate.not(VersionedDocument::isRemoved));
     }
 
     /** Version on which the next change of a service must be based; a removal also counts as a version. */
--- a/core/src/main/java/org/quetzalshunt/core/configuration/DocumentTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/DocumentTable.java
@@ -63,7 +63,7 @@
     List<VersionedDocument> live() {
         return byService.values().stream()
                 .map(versions -> versions.peekLast().document())
-                .filter(Predicate.not(VersionedDocument::removed))
+                .filter(Predicate.not(VersionedDocument::isRemoved))
                 .toList();
     }
 
@@ -87,7 +87,7 @@
                         document.team().equals(change.team()) && document.name().equals(change.service()))
                 .orElse(true);
         boolean isOwnService = current(change.service())
-                .filter(Predicate.not(VersionedDocument::removed))
+                .filter(Predicate.not(VersionedDocument::isRemoved))
                 .map(existing -> existing.team().equals(change.team()))
                 .orElse(true);
         return isOwnDocument && isOwnService;
@@ -95,13 +95,13 @@
 
     private boolean isLive(String service) {
         return current(service)
-                .filter(Predicate.not(VersionedDocument::removed))
+                .filter(Predicate.not(VersionedDocument::isRemoved))
                 .isPresent();
     }
 
     private long liveCount() {
         return byService.values().stream()
-                .filter(versions -> !versions.peekLast().document().removed())
+                .filter(versions -> !versions.peekLast().document().isRemoved())
                 .count();
     }
 
@@ -123,7 +123,7 @@
             return;
         }
         byService.entrySet().stream()
-                .filter(entry -> entry.getValue().peekLast().document().removed())
+                .filter(entry -> entry.getValue().peekLast().document().isRemoved())
                 .min(Comparator.comparingLong(
                         entry -> entry.getValue().peekLast().record().offset()))
                 .ifPresent(entry -> removeService(entry.getKey()));
--- a/core/src/main/java/org/quetzalshunt/core/configuration/VersionedDocument.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/VersionedDocument.java
@@ -23,7 +23,7 @@
         long putMillis,
         String sourceText) {
     /** Whether this version removed the service. */
-    public boolean removed() {
+    public boolean isRemoved() {
         return document.isEmpty();
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/AdminStatus.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/AdminStatus.java
@@ -106,7 +106,7 @@
                     .put("version", version.version())
                     .put("author", version.author())
                     .put("putMillis", version.putMillis())
-                    .put("removed", version.removed());
+                    .put("removed", version.isRemoved());
         }
         sendJson(exchange, requestId, node);
     }
