--- a/core/src/main/java/org/quetzalshunt/core/configuration/Freshness.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/Freshness.java
@@ -43,12 +43,12 @@
     }
 
     /** Reports that this node read the log to its end, by a read that started at this time. */
-    public void readToEnd(long startedMillis) {
+    public void onReadToEnd(long startedMillis) {
         readMillis = Math.max(readMillis, startedMillis);
     }
 
     /** Sets the current peers, without this node. They are the other nodes that can accept a change. */
-    public void peersListed(Collection<String> peers) {
+    public void setPeers(Collection<String> peers) {
         hasPeerList = true;
         reports.keySet().retainAll(peers);
         peers.forEach(peer -> reports.putIfAbsent(peer, PeerReport.NONE));
@@ -63,7 +63,7 @@
      * @param spokenAfterMillis time on this node's clock before the report was made: when this node sent the message
      *     that the peer echoed
      */
-    public void heard(String peer, long configurationNext, long configurationAgeMillis, long spokenAfterMillis) {
+    public void onPeerReport(String peer, long configurationNext, long configurationAgeMillis, long spokenAfterMillis) {
         PeerReport previous = reports.getOrDefault(peer, PeerReport.NONE);
         long read = configurationAgeMillis < 0 ? NEVER : spokenAfterMillis - configurationAgeMillis;
         reports.put(
@@ -79,7 +79,7 @@
      *
      * @param configurationNext offset that this node applies next
      */
-    public boolean fresh(long nowMillis, long configurationNext) {
+    public boolean isFresh(long nowMillis, long configurationNext) {
         long oldestAccepted = nowMillis - limitMillis;
         if (readMillis >= oldestAccepted) {
             return true;
--- a/core/src/test/java/org/quetzalshunt/core/configuration/FreshnessTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/configuration/FreshnessTest.java
@@ -26,9 +26,9 @@
         "2001, false, cut off alone",
     })
     void anOwnReadKeepsANodeFreshUntilTheLimit(long readAge, boolean fresh, String ignoredCase) {
-        freshness.peersListed(List.of("b", "c"));
-        freshness.readToEnd(NOW_MILLIS - readAge);
-        assertThat(freshness.fresh(NOW_MILLIS, OWN_NEXT)).isEqualTo(fresh);
+        freshness.setPeers(List.of("b", "c"));
+        freshness.onReadToEnd(NOW_MILLIS - readAge);
+        assertThat(freshness.isFresh(NOW_MILLIS, OWN_NEXT)).isEqualTo(fresh);
     }
 
     @ParameterizedTest
@@ -51,22 +51,22 @@
             long reportAgeOfC,
             boolean fresh,
             String ignoredCase) {
-        freshness.readToEnd(NOW_MILLIS - 50_000);
-        freshness.peersListed(List.of("b", "c"));
-        freshness.heard("b", nextOfB, readAgeOfB, NOW_MILLIS - reportAgeOfB);
-        freshness.heard("c", nextOfC, readAgeOfC, NOW_MILLIS - reportAgeOfC);
-        assertThat(freshness.fresh(NOW_MILLIS, OWN_NEXT)).isEqualTo(fresh);
+        freshness.onReadToEnd(NOW_MILLIS - 50_000);
+        freshness.setPeers(List.of("b", "c"));
+        freshness.onPeerReport("b", nextOfB, readAgeOfB, NOW_MILLIS - reportAgeOfB);
+        freshness.onPeerReport("c", nextOfC, readAgeOfC, NOW_MILLIS - reportAgeOfC);
+        assertThat(freshness.isFresh(NOW_MILLIS, OWN_NEXT)).isEqualTo(fresh);
     }
 
     @Test
     void aNodeWithoutAPeerListIsNotFreshForLackOfReports() {
-        assertThat(freshness.fresh(NOW_MILLIS, OWN_NEXT)).isFalse();
+        assertThat(freshness.isFresh(NOW_MILLIS, OWN_NEXT)).isFalse();
         assertThat(freshness.ageMillis(NOW_MILLIS)).isEqualTo(-1);
-        freshness.peersListed(List.of("b"));
-        assertThat(freshness.fresh(NOW_MILLIS, OWN_NEXT)).isFalse();
-        freshness.heard("b", OWN_NEXT, -1, NOW_MILLIS - 10);
-        assertThat(freshness.fresh(NOW_MILLIS, OWN_NEXT)).isTrue();
-        freshness.peersListed(List.of("b", "newcomer"));
-        assertThat(freshness.fresh(NOW_MILLIS, OWN_NEXT)).isFalse();
+        freshness.setPeers(List.of("b"));
+        assertThat(freshness.isFresh(NOW_MILLIS, OWN_NEXT)).isFalse();
+        freshness.onPeerReport("b", OWN_NEXT, -1, NOW_MILLIS - 10);
+        assertThat(freshness.isFresh(NOW_MILLIS, OWN_NEXT)).isTrue();
+        freshness.setPeers(List.of("b", "newcomer"));
+        assertThat(freshness.isFresh(NOW_MILLIS, OWN_NEXT)).isFalse();
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/ConfigurationStream.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ConfigurationStream.java
@@ -57,7 +57,7 @@
     void tick() {
         session.tick(clock.now());
         publisher.tick(clock.now());
-        session.lastReadMillis().ifPresent(freshness::readToEnd);
+        session.lastReadMillis().ifPresent(freshness::onReadToEnd);
     }
 
     /**
@@ -70,7 +70,7 @@
     }
 
     boolean isFresh() {
-        return freshness.fresh(clock.now(), configuration.nextOffset());
+        return freshness.isFresh(clock.now(), configuration.nextOffset());
     }
 
     /** Submits a change; the callback receives the result of the submission and the configuration at that time. */
--- a/server/src/main/java/org/quetzalshunt/server/entry/Peers.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/Peers.java
@@ -72,7 +72,7 @@
         if (heartbeat.isSetEchoedSentMillis()) {
             configurationStream
                     .freshness()
-                    .heard(
+                    .onPeerReport(
                             link.remote().id().name(),
                             heartbeat.getConfigurationNext(),
                             heartbeat.getConfigurationAgeMillis(),
@@ -93,7 +93,7 @@
         membership.tick(now);
         configurationStream
                 .freshness()
-                .peersListed(membership.entries().stream()
+                .setPeers(membership.entries().stream()
                         .map(member -> member.id().name())
                         .filter(name -> !name.equals(self.name()))
                         .toList());
