--- a/core/src/main/java/org/quetzalshunt/core/program/CallCoordinator.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/CallCoordinator.java
@@ -35,8 +35,8 @@
         calls.clear();
     }
 
-    Admission offer(long nowMillis, CallRequest call) {
-        Optional<Admission> running = calls.find(call);
+    AdmissionDecision offer(long nowMillis, CallRequest call) {
+        Optional<AdmissionDecision> running = calls.find(call);
         if (running.isPresent()) {
             return running.get();
         }
@@ -54,7 +54,7 @@
                 call.digest(),
                 nowMillis);
         submitter.accept(intent, folded -> intentFolded(nowMillis, call));
-        return new Admission.Accepted();
+        return new AdmissionDecision.Accepted();
     }
 
     private void intentFolded(long offeredMillis, CallRequest call) {
--- a/core/src/main/java/org/quetzalshunt/core/program/CallTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/CallTable.java
@@ -31,7 +31,7 @@
         calls.clear();
     }
 
-    Optional<Admission> find(CallRequest call) {
+    Optional<AdmissionDecision> find(CallRequest call) {
         return Optional.ofNullable(calls.get(key(call)))
                 .map(active ->
                         IdempotencyCheck.againstActiveRequest(active.requestId(), active.digest(), call.digest()));
--- a/core/src/main/java/org/quetzalshunt/core/program/IdempotencyCheck.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/IdempotencyCheck.java
@@ -13,30 +13,30 @@
      * Answers a request whose key has a stored result. A completed request is answered from the result. A request with
      * a recorded intent but no outcome may have run, so it is refused with an unknown outcome and never run again.
      */
-    static Admission againstStoredResult(StoredResult result, byte[] digest) {
+    static AdmissionDecision againstStoredResult(StoredResult result, byte[] digest) {
         if (!Arrays.equals(result.requestDigest(), digest)) {
             return keyReused();
         }
         if (!result.ended()) {
-            return new Admission.Refused(Refusal.withExecution(
+            return new AdmissionDecision.Refused(Refusal.withExecution(
                     ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, "request " + result.requestId() + " may have run"));
         }
         if (result.resultCode() != ResultCode.OK.number()) {
-            return new Admission.Refused(Refusal.withExecution(
+            return new AdmissionDecision.Refused(Refusal.withExecution(
                     ResultCode.fromNumber(result.resultCode()),
                     Execution.UNKNOWN,
                     "recorded outcome of a request sent before with the same idempotency key"));
         }
-        return new Admission.Replay(result.requestId(), result.answer());
+        return new AdmissionDecision.Replay(result.requestId(), result.answer());
     }
 
     /** Attaches a repeated request to the one with the same key that is queued or running. */
-    static Admission againstActiveRequest(String requestId, byte[] runningDigest, byte[] digest) {
-        return Arrays.equals(runningDigest, digest) ? new Admission.Attach(requestId) : keyReused();
+    static AdmissionDecision againstActiveRequest(String requestId, byte[] runningDigest, byte[] digest) {
+        return Arrays.equals(runningDigest, digest) ? new AdmissionDecision.Attach(requestId) : keyReused();
     }
 
-    private static Admission keyReused() {
-        return new Admission.Refused(Refusal.notRun(
+    private static AdmissionDecision keyReused() {
+        return new AdmissionDecision.Refused(Refusal.notRun(
                 ResultCode.IDEMPOTENCY_KEY_REUSED,
                 "the idempotency key was used before with another method, path, service or body"));
     }
--- a/core/src/main/java/org/quetzalshunt/core/program/Shard.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/Shard.java
@@ -288,7 +288,7 @@
      * Submits a request for a turn. The host must register the request id first, since {@link
      * ShardListener#onTurnStart} may be called before this method returns.
      */
-    public Admission offerTurn(long nowMillis, TurnRequest request) {
+    public AdmissionDecision offerTurn(long nowMillis, TurnRequest request) {
         return turns.offer(nowMillis, request);
     }
 
@@ -316,7 +316,7 @@
     }
 
     /** Submits a call that must run at most once. It starts once its intent has been applied as valid. */
-    public Admission offerCall(long nowMillis, CallRequest call) {
+    public AdmissionDecision offerCall(long nowMillis, CallRequest call) {
         return calls.offer(nowMillis, call);
     }
 
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnScheduler.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnScheduler.java
@@ -49,21 +49,21 @@
         queues.clear();
     }
 
-    Admission offer(long nowMillis, TurnRequest request) {
-        Optional<Admission> known = findDuplicate(request);
+    AdmissionDecision offer(long nowMillis, TurnRequest request) {
+        Optional<AdmissionDecision> known = findDuplicate(request);
         if (known.isPresent()) {
             return known.get();
         }
         Optional<Refusal> refusal = refusalOf(request);
         if (refusal.isPresent()) {
-            return new Admission.Refused(refusal.get());
+            return new AdmissionDecision.Refused(refusal.get());
         }
         queue(request.program()).waiting().add(request);
         startNext(nowMillis, request.program());
-        return new Admission.Accepted();
+        return new AdmissionDecision.Accepted();
     }
 
-    private Optional<Admission> findDuplicate(TurnRequest request) {
+    private Optional<AdmissionDecision> findDuplicate(TurnRequest request) {
         if (request.idempotencyKey().isEmpty()) {
             return Optional.empty();
         }
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
@@ -83,7 +83,7 @@
                 outcome -> {});
     }
 
-    Admission offer(String program, String requestId) {
+    AdmissionDecision offer(String program, String requestId) {
         List<byte[]> messages = List.of(octets("ask " + requestId));
         ServiceLimits limits = ServiceLimits.defaults();
         return shard.offerTurn(
@@ -113,7 +113,7 @@
         shard.endTurn(log.now(), start, result, kept -> durable.put(requestId, kept));
     }
 
-    Admission call(String key, String requestId) {
+    AdmissionDecision call(String key, String requestId) {
         return shard.offerCall(log.now(), callRequest(key, requestId));
     }
 
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
@@ -87,11 +87,11 @@
         assertThat(one.callsStarted).hasSize(1);
         one.transport.crash();
         two.takeOver(two::tick);
-        Admission again = two.call("lorry", "second");
+        AdmissionDecision again = two.call("lorry", "second");
         log.run(100, two::tick);
         assertThat(two.callsStarted).isEmpty();
-        assertThat(((Admission.Refused) again).refusal().execution()).isEqualTo(Execution.UNKNOWN);
-        assertThat(((Admission.Refused) again).refusal().code()).isEqualTo(ResultCode.OUTCOME_UNKNOWN);
+        assertThat(((AdmissionDecision.Refused) again).refusal().execution()).isEqualTo(Execution.UNKNOWN);
+        assertThat(((AdmissionDecision.Refused) again).refusal().code()).isEqualTo(ResultCode.OUTCOME_UNKNOWN);
     }
 
     /**
@@ -127,9 +127,9 @@
         log.setOutage(false);
         log.run(10_000, this::ticks);
         assertThat(one.callsStarted).isEmpty();
-        Admission again = one.call("lorry", "second");
+        AdmissionDecision again = one.call("lorry", "second");
         log.run(200, this::ticks);
-        assertThat(again).isInstanceOf(Admission.Accepted.class);
+        assertThat(again).isInstanceOf(AdmissionDecision.Accepted.class);
         assertThat(one.callsStarted).hasSize(1);
     }
 
@@ -152,7 +152,7 @@
         late.call("renewal", "first");
         log.run(100, late::tick);
         assertThat(late.callsStarted).hasSize(1);
-        assertThat(late.call("renewal", "again")).isInstanceOf(Admission.Attach.class);
+        assertThat(late.call("renewal", "again")).isInstanceOf(AdmissionDecision.Attach.class);
     }
 
     /**
@@ -181,7 +181,7 @@
         int turns = turnsAfterTheCheckpoint ? 3 : 2;
         assertThat(late.shard.find(PROGRAM, ShardNode.ACCOUNT).map(ProgramView::turns))
                 .hasValue(turns);
-        assertThat(late.offer(PROGRAM, "first")).isInstanceOf(Admission.Replay.class);
+        assertThat(late.offer(PROGRAM, "first")).isInstanceOf(AdmissionDecision.Replay.class);
         late.offer(PROGRAM, "next");
         log.run(60, late::tick);
         assertThat(late.turnsStarted.get(0).prompt()).hasSize(2 * turns + 1);
@@ -198,7 +198,7 @@
         late.takeOver(late::tick);
         assertThat(late.shard.isComplete()).isFalse();
         assertThat(late.shard.isOwned()).isFalse();
-        assertThat(late.offer(PROGRAM, "turn")).isInstanceOf(Admission.Refused.class);
+        assertThat(late.offer(PROGRAM, "turn")).isInstanceOf(AdmissionDecision.Refused.class);
     }
 
     /**
--- a/server/src/main/java/org/quetzalshunt/server/entry/OwnerService.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/OwnerService.java
@@ -7,7 +7,7 @@
 import java.util.function.IntFunction;
 import org.quetzalshunt.core.document.ServiceDocument;
 import org.quetzalshunt.core.document.ServiceLimits;
-import org.quetzalshunt.core.program.Admission;
+import org.quetzalshunt.core.program.AdmissionDecision;
 import org.quetzalshunt.core.program.CallRequest;
 import org.quetzalshunt.core.program.Digests;
 import org.quetzalshunt.core.program.MessageMode;
@@ -88,8 +88,8 @@
         ChatRun run = new ChatRun(owner, request, body, sink, shard);
         owner.chatRuns().put(request.requestId(), run);
         TurnRequest turn = turnRequest(request, body, document.get().limits());
-        Admission admission = shard.offerTurn(owner.clock().now(), turn);
-        if (admission instanceof Admission.Accepted) {
+        AdmissionDecision admission = shard.offerTurn(owner.clock().now(), turn);
+        if (admission instanceof AdmissionDecision.Accepted) {
             sink.onClose(() -> {
                 shard.cancelWaitingTurn(turn.program(), request.requestId());
                 run.onCallerDisconnected();
@@ -231,8 +231,8 @@
             run.start();
             return;
         }
-        Admission admission = shard.offerCall(owner.clock().now(), call.get());
-        if (admission instanceof Admission.Accepted) {
+        AdmissionDecision admission = shard.offerCall(owner.clock().now(), call.get());
+        if (admission instanceof AdmissionDecision.Accepted) {
             return;
         }
         owner.callRuns().remove(request.requestId());
@@ -246,19 +246,19 @@
     }
 
     private void completeAdmission(
-            Admission admission,
+            AdmissionDecision admission,
             OwnerRequest request,
             ResponseSink sink,
             java.util.function.Consumer<StoredAnswer> onAnswer) {
-        if (admission instanceof Admission.Replay replay) {
+        if (admission instanceof AdmissionDecision.Replay replay) {
             onAnswer.accept(replay.answer());
             return;
         }
-        if (admission instanceof Admission.Refused refused) {
+        if (admission instanceof AdmissionDecision.Refused refused) {
             refuse(sink, request, refused.refusal());
             return;
         }
-        Admission.Attach attach = (Admission.Attach) admission;
+        AdmissionDecision.Attach attach = (AdmissionDecision.Attach) admission;
         owner.duplicateRequests().add(attach.requestId(), outcome -> {
             outcome.toOptional().ifPresent(onAnswer);
             outcome.toRefusal().ifPresent(refusal -> refuse(sink, request, refusal));
