--- a/core/src/main/java/org/quetzalshunt/core/attempt/EndpointGate.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/EndpointGate.java
@@ -105,7 +105,7 @@
     }
 
     /** Handles an endpoint event. Ignored if the attempt has ended or the event belongs to an earlier run. */
-    public void on(EndpointEvent event, long nowMillis) {
+    public void onEndpointEvent(EndpointEvent event, long nowMillis) {
         Optional<AttemptRecord> known = table.find(event.attempt());
         if (known.isEmpty() || !known.get().isRunning() || known.get().run != event.run()) {
             return;
@@ -143,7 +143,7 @@
      * Begins a planned stop: new orders are refused, running attempts continue, and an engine's cache entries are
      * freed.
      */
-    public void leave() {
+    public void startDraining() {
         leaving = true;
     }
 
@@ -151,7 +151,7 @@
      * Aborts all running attempts at the end of the drain period. A non-repeatable call to a plain service ends with
      * {@code OUTCOME_UNKNOWN}, any other attempt with {@code ANSWER_CUT}.
      */
-    public void cutAll(long nowMillis) {
+    public void abortAll(long nowMillis) {
         table.listRunning().forEach(record -> timers.abort(record, ResultCode.ANSWER_CUT, nowMillis));
     }
 
--- a/core/src/test/java/org/quetzalshunt/core/attempt/CacheLeasesTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/CacheLeasesTest.java
@@ -66,7 +66,7 @@
     @Test
     void plannedStopFreesAllCacheEntries() {
         GateHarness harness = harnessWithFinishedAttempt();
-        harness.gate.leave();
+        harness.gate.startDraining();
         harness.advance(500);
         harness.gate.renewCache(SHARD, EPOCH, List.of("program", "another"), LEASE_MILLIS, harness.now);
         assertThat(harness.outputsOf(GateOutput.FreeCache.class)).containsExactly(new GateOutput.FreeCache("program"));
--- a/core/src/test/java/org/quetzalshunt/core/attempt/EndpointGateTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/EndpointGateTest.java
@@ -188,12 +188,12 @@
             ServiceKind kind, boolean repeatable, String outcomeOfAborted) {
         GateHarness harness = GateHarness.of(kind).start(repeatable);
         harness.gate.start(OTHER_LINK, order(ATTEMPT + 1, EPOCH, repeatable), harness.now);
-        harness.gate.leave();
+        harness.gate.startDraining();
         harness.gate.start(LINK, order(ATTEMPT + 2, EPOCH, repeatable), harness.now);
         assertThat(harness.outcome(LINK)).isEqualTo("STOPPING NOT_RUN");
         harness.head(0, 200).data(0, "a").done(0).closed(0);
         assertThat(harness.outcome(LINK)).isEqualTo("OK RAN");
-        harness.gate.cutAll(harness.now);
+        harness.gate.abortAll(harness.now);
         assertThat(harness.outcome(OTHER_LINK)).isEqualTo(outcomeOfAborted);
         assertThat(harness.gate.counts().running()).isEqualTo(0);
     }
--- a/core/src/test/java/org/quetzalshunt/core/attempt/GateHarness.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/GateHarness.java
@@ -110,7 +110,7 @@
     }
 
     private GateHarness dispatch(EndpointEvent event) {
-        gate.on(event, now);
+        gate.onEndpointEvent(event, now);
         return this;
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/Sidecar.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/Sidecar.java
@@ -107,13 +107,13 @@
 
     /** Refuses new attempts and reports this to every entry at once. */
     void startDraining() {
-        gate.leave();
+        gate.startDraining();
         ticker.wake();
         reports.sendToAll(gate.counts(), health.load(), isHealthy(), nowMillis());
     }
 
     void cutAll() {
-        gate.cutAll(nowMillis());
+        gate.abortAll(nowMillis());
     }
 
     void close() {
@@ -182,7 +182,7 @@
         if (settings.kind() == ServiceKind.PLAIN) {
             updatePlainHealth(event);
         }
-        gate.on(event, nowMillis());
+        gate.onEndpointEvent(event, nowMillis());
     }
 
     private void updatePlainHealth(EndpointEvent event) {
