--- a/core/src/main/java/org/quetzalshunt/core/attempt/ModelRollout.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/ModelRollout.java
@@ -89,7 +89,7 @@
      * @param stepMillis delay of this endpoint's step of the rollout; applies only while the engine serves a model that
      *     the rollout manages
      */
-    public void desire(
+    public void updateTarget(
             long version, List<ModelVersion> models, boolean checksFencing, long stepMillis, long nowMillis) {
         if (!plan.updateTarget(version, models)) {
             return;
@@ -122,7 +122,7 @@
             return;
         }
         if (answer instanceof WeightsAnswer.Ready) {
-            giveOrderIfStillDue(nowMillis);
+            sendOrderIfStillDue(nowMillis);
         } else if (answer instanceof WeightsAnswer.Later later) {
             restUntil(nowMillis + later.millis());
         } else if (answer instanceof WeightsAnswer.Missing) {
@@ -196,7 +196,7 @@
         }
         RolloutPlan.Step next = step.get();
         if (!next.load()) {
-            giveOrder();
+            sendOrder();
             return;
         }
         phase = Phase.FETCHING;
@@ -204,15 +204,15 @@
     }
 
     /** Compares with the plan again, because a newer document may have arrived while the weights were requested. */
-    private void giveOrderIfStillDue(long nowMillis) {
+    private void sendOrderIfStillDue(long nowMillis) {
         if (plan.nextStep(loaded.orElse(List.of())).equals(step)) {
-            giveOrder();
+            sendOrder();
             return;
         }
         restUntil(nowMillis);
     }
 
-    private void giveOrder() {
+    private void sendOrder() {
         RolloutPlan.Step next = step.orElseThrow();
         phase = Phase.ORDERING;
         ordersGiven++;
--- a/core/src/test/java/org/quetzalshunt/core/attempt/ModelRolloutTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/ModelRolloutTest.java
@@ -20,7 +20,7 @@
     void oldVersionIsUnloadedOnlyAfterTheNewOneServes(boolean checksFencing) {
         ModelVersion foreign = new ModelVersion("base", "1");
         simulation.loaded.addAll(List.of(model(1), foreign));
-        desire(simulation.startProcess(), 2, checksFencing);
+        updateTarget(simulation.startProcess(), 2, checksFencing);
         simulation.advance(SETTLE_MILLIS);
         assertThat(simulation.orderHistory)
                 .containsExactly("load tutor@2", "unload tutor@1")
@@ -40,12 +40,12 @@
             simulation.weights.put(model(2), new WeightsAnswer.Missing());
         }
         ModelRollout rollout = simulation.startProcess();
-        desire(rollout, 2, true);
+        updateTarget(rollout, 2, true);
         simulation.advance(SETTLE_MILLIS);
         assertThat(simulation.loaded).containsExactly(model(1));
         assertThat(simulation.orderHistory).hasSize(orders);
         assertThat(rollout.status().rolledBack()).isTrue();
-        desire(rollout, 3, true);
+        updateTarget(rollout, 3, true);
         simulation.advance(SETTLE_MILLIS);
         assertThat(simulation.loaded).containsExactly(model(3));
     }
@@ -57,7 +57,7 @@
         ModelVersion adapter = new ModelVersion("adapter", "2");
         simulation.loaded.add(model(1));
         simulation.failsToLoad = adapter::equals;
-        simulation.startProcess().desire(2, List.of(model(2), adapter), true, 0, simulation.now);
+        simulation.startProcess().updateTarget(2, List.of(model(2), adapter), true, 0, simulation.now);
         simulation.advance(SETTLE_MILLIS);
         assertThat(simulation.loaded).containsExactly(model(1));
     }
@@ -69,7 +69,7 @@
         simulation.loaded.add(model(1));
         simulation.weights.put(model(2), new WeightsAnswer.Later(20_000));
         ModelRollout rollout = simulation.startProcess();
-        desire(rollout, 2, true);
+        updateTarget(rollout, 2, true);
         simulation.advance(19_000);
         simulation.weights.clear();
         assertThat(simulation.orderHistory).isEmpty();
@@ -84,7 +84,7 @@
     void orderWithLostResponseIsNotRepeatedWhileItMayRun() {
         simulation.loaded.add(model(1));
         simulation.losesOrderResponses = true;
-        desire(simulation.startProcess(), 2, true);
+        updateTarget(simulation.startProcess(), 2, true);
         simulation.advance(SETTLE_MILLIS);
         assertThat(simulation.orderHistory)
                 .containsExactly("load tutor@2", "unload tutor@1")
@@ -97,11 +97,11 @@
     void orderOfAFormerProcessIsAwaited() {
         simulation.loaded.add(model(1));
         ModelRollout former = simulation.startProcess();
-        desire(former, 2, false);
+        updateTarget(former, 2, false);
         simulation.advance(ModelRollout.QUIET_PERIOD_MILLIS + 500);
         assertThat(simulation.orderHistory).containsExactly("load tutor@2");
         simulation.pause(former);
-        desire(simulation.startProcess(), 2, false);
+        updateTarget(simulation.startProcess(), 2, false);
         simulation.advance(SETTLE_MILLIS);
         assertThat(simulation.orderHistory)
                 .containsExactly("load tutor@2", "unload tutor@1")
@@ -117,17 +117,17 @@
         simulation.checksFencing = checksFencing;
         simulation.loaded.add(model(1));
         ModelRollout old = simulation.startProcess();
-        desire(old, 2, checksFencing);
+        updateTarget(old, 2, checksFencing);
         simulation.advance(SETTLE_MILLIS);
         simulation.pause(old);
-        desire(simulation.startProcess(), 3, checksFencing);
+        updateTarget(simulation.startProcess(), 3, checksFencing);
         simulation.advance(SETTLE_MILLIS);
         simulation.resume(old);
         simulation.advance(SETTLE_MILLIS);
         if (checksFencing) {
             assertThat(simulation.loaded).containsExactly(model(3));
         }
-        desire(old, 3, checksFencing);
+        updateTarget(old, 3, checksFencing);
         simulation.advance(SETTLE_MILLIS);
         assertThat(simulation.loaded).containsExactly(model(3));
         assertThat(simulation.minimumLoaded).isAtLeast(1);
@@ -141,7 +141,7 @@
         if (serves) {
             simulation.loaded.add(model(1));
         }
-        simulation.startProcess().desire(2, List.of(model(2)), true, 20_000, simulation.now);
+        simulation.startProcess().updateTarget(2, List.of(model(2)), true, 20_000, simulation.now);
         simulation.advance(10_000);
         assertThat(simulation.loaded.contains(model(2))).isEqualTo(!serves);
         simulation.advance(SETTLE_MILLIS);
@@ -154,14 +154,14 @@
     void olderDocumentAndEmptyListAreIgnored() {
         simulation.loaded.add(model(3));
         ModelRollout rollout = simulation.startProcess();
-        desire(rollout, 3, true);
-        desire(rollout, 2, true);
-        rollout.desire(4, List.of(), true, 0, simulation.now);
+        updateTarget(rollout, 3, true);
+        updateTarget(rollout, 2, true);
+        rollout.updateTarget(4, List.of(), true, 0, simulation.now);
         simulation.advance(SETTLE_MILLIS);
         assertThat(simulation.orderHistory).isEmpty();
     }
 
-    private void desire(ModelRollout rollout, int version, boolean checksFencing) {
-        rollout.desire(version, List.of(model(version)), checksFencing, 0, simulation.now);
+    private void updateTarget(ModelRollout rollout, int version, boolean checksFencing) {
+        rollout.updateTarget(version, List.of(model(version)), checksFencing, 0, simulation.now);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/ModelRolloutExecutor.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/ModelRolloutExecutor.java
@@ -56,7 +56,7 @@
         names.forEach(name -> ModelVersion.parse(name).ifPresent(models::add));
         long delayMillis = RolloutSteps.delayMillis(
                 settings.id().name(), version, settings.times().rolloutWindowMillis());
-        rollout.desire(version, models, engineChecksFencing, delayMillis, clock.getAsLong());
+        rollout.updateTarget(version, models, engineChecksFencing, delayMillis, clock.getAsLong());
     }
 
     void onLoad(EndpointLoad load) {
