--- a/core/src/main/java/org/quetzalshunt/core/attempt/EndpointEvent.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/EndpointEvent.java
@@ -21,19 +21,19 @@
     record Data(long attempt, int run, byte[] data) implements EndpointEvent {}
 
     /** Token usage and finish reason that the engine reported for the response. */
-    record Counted(long attempt, int run, Optional<TokenUsage> usage, Optional<String> finishReason)
+    record ResponseMetadata(long attempt, int run, Optional<TokenUsage> usage, Optional<String> finishReason)
             implements EndpointEvent {}
 
     /** The end marker of the event stream arrived. */
-    record Done(long attempt, int run) implements EndpointEvent {}
+    record EndMarker(long attempt, int run) implements EndpointEvent {}
 
     /** The HTTP response is complete according to its framing. */
-    record Closed(long attempt, int run) implements EndpointEvent {}
+    record ResponseEnded(long attempt, int run) implements EndpointEvent {}
 
     /**
      * The HTTP response will not be completed.
      *
      * @param mayHaveArrived false only when no byte of the request can have reached the endpoint
      */
-    record Failed(long attempt, int run, boolean mayHaveArrived) implements EndpointEvent {}
+    record ResponseFailed(long attempt, int run, boolean mayHaveArrived) implements EndpointEvent {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/attempt/EngineEventHandler.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/EngineEventHandler.java
@@ -47,14 +47,14 @@
             onHead(record, head, nowMillis);
         } else if (event instanceof EndpointEvent.Data data) {
             onData(record, data.data(), nowMillis);
-        } else if (event instanceof EndpointEvent.Counted counted) {
-            counted.usage().ifPresent(usage -> record.usage = counted.usage());
-            counted.finishReason().ifPresent(reason -> record.finishReason = counted.finishReason());
-        } else if (event instanceof EndpointEvent.Done) {
+        } else if (event instanceof EndpointEvent.ResponseMetadata responseMetadata) {
+            responseMetadata.usage().ifPresent(usage -> record.usage = responseMetadata.usage());
+            responseMetadata.finishReason().ifPresent(reason -> record.finishReason = responseMetadata.finishReason());
+        } else if (event instanceof EndpointEvent.EndMarker) {
             delivery.finish(record, ResultCode.OK, Execution.RAN, nowMillis);
-        } else if (event instanceof EndpointEvent.Closed) {
+        } else if (event instanceof EndpointEvent.ResponseEnded) {
             onClosed(record, nowMillis);
-        } else if (event instanceof EndpointEvent.Failed failed) {
+        } else if (event instanceof EndpointEvent.ResponseFailed failed) {
             onFailed(record, failed.mayHaveArrived(), nowMillis);
         }
     }
--- a/core/src/main/java/org/quetzalshunt/core/attempt/PlainEventHandler.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/PlainEventHandler.java
@@ -25,9 +25,9 @@
         } else if (event instanceof EndpointEvent.Data data) {
             record.lastProgressMillis = nowMillis;
             delivery.forwardChunk(record, data.data());
-        } else if (event instanceof EndpointEvent.Closed) {
+        } else if (event instanceof EndpointEvent.ResponseEnded) {
             delivery.finish(record, ResultCode.OK, Execution.RAN, nowMillis);
-        } else if (event instanceof EndpointEvent.Failed failed) {
+        } else if (event instanceof EndpointEvent.ResponseFailed failed) {
             onFailed(record, failed.mayHaveArrived(), nowMillis);
         }
     }
--- a/core/src/test/java/org/quetzalshunt/core/attempt/GateHarness.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/GateHarness.java
@@ -63,15 +63,15 @@
     }
 
     GateHarness done(int run) {
-        return dispatch(new EndpointEvent.Done(ATTEMPT, run));
+        return dispatch(new EndpointEvent.EndMarker(ATTEMPT, run));
     }
 
     GateHarness closed(int run) {
-        return dispatch(new EndpointEvent.Closed(ATTEMPT, run));
+        return dispatch(new EndpointEvent.ResponseEnded(ATTEMPT, run));
     }
 
     GateHarness failed(int run, boolean mayHaveArrived) {
-        return dispatch(new EndpointEvent.Failed(ATTEMPT, run, mayHaveArrived));
+        return dispatch(new EndpointEvent.ResponseFailed(ATTEMPT, run, mayHaveArrived));
     }
 
     GateHarness advance(long millis) {
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/AttemptResponseListener.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/AttemptResponseListener.java
@@ -57,12 +57,12 @@
 
     @Override
     public void onEnd() {
-        end(new EndpointEvent.Closed(attempt, run));
+        end(new EndpointEvent.ResponseEnded(attempt, run));
     }
 
     @Override
     public void onFailure(String reason, boolean requestMayHaveArrived) {
-        end(new EndpointEvent.Failed(attempt, run, requestMayHaveArrived));
+        end(new EndpointEvent.ResponseFailed(attempt, run, requestMayHaveArrived));
     }
 
     private void end(EndpointEvent event) {
@@ -76,7 +76,7 @@
 
     private void onStreamEvent(byte[] data) {
         if (ChatChunks.isEndMark(data)) {
-            events.accept(new EndpointEvent.Done(attempt, run));
+            events.accept(new EndpointEvent.EndMarker(attempt, run));
             return;
         }
         events.accept(new EndpointEvent.Data(attempt, run, data));
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/ChatChunks.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/ChatChunks.java
@@ -19,7 +19,7 @@
     }
 
     /** Usage and finish reason in a chunk; empty when it contains neither. */
-    static Optional<EndpointEvent.Counted> parse(long attempt, int run, byte[] data) {
+    static Optional<EndpointEvent.ResponseMetadata> parse(long attempt, int run, byte[] data) {
         Optional<JsonNode> chunk = Json.parse(data);
         if (chunk.isEmpty()) {
             return Optional.empty();
@@ -29,7 +29,7 @@
         if (usage.isEmpty() && reason.isEmpty()) {
             return Optional.empty();
         }
-        return Optional.of(new EndpointEvent.Counted(attempt, run, usage, reason));
+        return Optional.of(new EndpointEvent.ResponseMetadata(attempt, run, usage, reason));
     }
 
     private static Optional<TokenUsage> usage(JsonNode usage) {
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/Sidecar.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/Sidecar.java
@@ -188,7 +188,7 @@
     private void updatePlainHealth(EndpointEvent event) {
         if (event instanceof EndpointEvent.Head) {
             health.onPlainCall(true, nowMillis());
-        } else if (event instanceof EndpointEvent.Failed) {
+        } else if (event instanceof EndpointEvent.ResponseFailed) {
             health.onPlainCall(false, nowMillis());
         }
     }
