--- a/core/src/main/java/org/quetzalshunt/core/attempt/ModelRollout.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/ModelRollout.java
@@ -134,22 +134,22 @@
     }
 
     /** Handles the engine's response to an order or to a query for its state. */
-    public void onOrder(OrderAnswer answer, long nowMillis) {
+    public void onOrder(EngineOrderState answer, long nowMillis) {
         if (phase != Phase.ORDERING && phase != Phase.ASKING) {
             return;
         }
-        if (answer instanceof OrderAnswer.Accepted accepted) {
+        if (answer instanceof EngineOrderState.Accepted accepted) {
             orderId = accepted.order();
             timeoutAtMillis = nowMillis + UNKNOWN_ORDER_TIMEOUT_MILLIS;
             pollLater(nowMillis);
-        } else if (answer instanceof OrderAnswer.Running) {
+        } else if (answer instanceof EngineOrderState.Running) {
             timeoutAtMillis = nowMillis + UNKNOWN_ORDER_TIMEOUT_MILLIS;
             pollLater(nowMillis);
-        } else if (answer instanceof OrderAnswer.Done) {
+        } else if (answer instanceof EngineOrderState.Done) {
             readBack(nowMillis + READ_BACK_TIMEOUT_MILLIS);
-        } else if (answer instanceof OrderAnswer.Failed) {
+        } else if (answer instanceof EngineOrderState.Failed) {
             onFailure(nowMillis);
-        } else if (answer instanceof OrderAnswer.Fenced) {
+        } else if (answer instanceof EngineOrderState.Fenced) {
             phase = Phase.FENCED;
         } else {
             onUnknownAnswer(nowMillis);
--- a/core/src/test/java/org/quetzalshunt/core/attempt/RolloutSimulation.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/RolloutSimulation.java
@@ -27,7 +27,7 @@
 
     private final List<ModelRollout> rollouts = new ArrayList<>();
     private final List<OrderInProgress> ordersInProgress = new ArrayList<>();
-    private final Map<String, OrderAnswer> responses = new HashMap<>();
+    private final Map<String, EngineOrderState> responses = new HashMap<>();
     private long highestToken = Long.MIN_VALUE;
 
     private record OrderInProgress(String order, long endsMillis, RolloutOutput.GiveOrder given) {}
@@ -70,23 +70,23 @@
         if (output instanceof RolloutOutput.FetchWeights fetch) {
             rollout.onWeights(weights.getOrDefault(fetch.model(), new WeightsAnswer.Ready()), now);
         } else if (output instanceof RolloutOutput.GiveOrder given) {
-            OrderAnswer answer = accept(given);
-            rollout.onOrder(losesOrderResponses ? new OrderAnswer.Unknown() : answer, now);
+            EngineOrderState answer = accept(given);
+            rollout.onOrder(losesOrderResponses ? new EngineOrderState.Unknown() : answer, now);
         } else if (output instanceof RolloutOutput.AskOrder ask) {
-            rollout.onOrder(responses.getOrDefault(ask.order(), new OrderAnswer.Unknown()), now);
+            rollout.onOrder(responses.getOrDefault(ask.order(), new EngineOrderState.Unknown()), now);
         }
     }
 
-    private OrderAnswer accept(RolloutOutput.GiveOrder given) {
+    private EngineOrderState accept(RolloutOutput.GiveOrder given) {
         if (checksFencing && given.fencingToken() < highestToken) {
-            return new OrderAnswer.Fenced();
+            return new EngineOrderState.Fenced();
         }
         highestToken = Math.max(highestToken, given.fencingToken());
         String id = "order-" + orderHistory.size();
         orderHistory.add((given.load() ? "load " : "unload ") + given.model());
-        responses.put(id, new OrderAnswer.Running());
+        responses.put(id, new EngineOrderState.Running());
         ordersInProgress.add(new OrderInProgress(id, now + ORDER_MILLIS, given));
-        return new OrderAnswer.Accepted(id);
+        return new EngineOrderState.Accepted(id);
     }
 
     private void completeDueOrders() {
@@ -98,15 +98,15 @@
         }
     }
 
-    private OrderAnswer complete(RolloutOutput.GiveOrder given) {
+    private EngineOrderState complete(RolloutOutput.GiveOrder given) {
         if (!given.load()) {
             loaded.remove(given.model());
-            return new OrderAnswer.Done();
+            return new EngineOrderState.Done();
         }
         if (failsToLoad.test(given.model())) {
-            return new OrderAnswer.Failed();
+            return new EngineOrderState.Failed();
         }
         loaded.add(given.model());
-        return new OrderAnswer.Done();
+        return new EngineOrderState.Done();
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/ModelRolloutExecutor.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/ModelRolloutExecutor.java
@@ -10,9 +10,9 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import org.quetzalshunt.core.attempt.EngineOrderState;
 import org.quetzalshunt.core.attempt.ModelRollout;
 import org.quetzalshunt.core.attempt.ModelVersion;
-import org.quetzalshunt.core.attempt.OrderAnswer;
 import org.quetzalshunt.core.attempt.RolloutOutput;
 import org.quetzalshunt.core.attempt.RolloutStatus;
 import org.quetzalshunt.core.attempt.RolloutSteps;
@@ -86,7 +86,7 @@
                     ORDERS_PATH,
                     body,
                     orderTimeoutMillis(),
-                    answer -> onOrderAnswer(parseAcceptance(answer)));
+                    answer -> onOrderState(parseAcceptance(answer)));
         } else if (output instanceof RolloutOutput.AskOrder ask) {
             String path = ORDERS_PATH + "/" + PathSegments.encode(ask.order());
             send(
@@ -95,7 +95,7 @@
                     path,
                     NO_BODY,
                     orderTimeoutMillis(),
-                    answer -> onOrderAnswer(parseOrderState(answer)));
+                    answer -> onOrderState(parseOrderState(answer)));
         }
     }
 
@@ -115,7 +115,7 @@
                 answer -> rollout.onWeights(parseWeightsAnswer(answer), clock.getAsLong()));
     }
 
-    private void onOrderAnswer(OrderAnswer answer) {
+    private void onOrderState(EngineOrderState answer) {
         rollout.onOrder(answer, clock.getAsLong());
     }
 
@@ -142,30 +142,30 @@
                 .put("fencingToken", order.fencingToken());
     }
 
-    private static OrderAnswer parseAcceptance(Optional<BufferedResponse> answer) {
+    private static EngineOrderState parseAcceptance(Optional<BufferedResponse> answer) {
         if (answer.isPresent() && answer.get().status() == STATUS_CONFLICT) {
-            return new OrderAnswer.Fenced();
+            return new EngineOrderState.Fenced();
         }
         Optional<String> order = answer.flatMap(BufferedResponse::json)
                 .map(json -> json.path("order"))
                 .filter(JsonNode::isTextual)
                 .map(JsonNode::asText);
         if (order.isPresent()) {
-            return new OrderAnswer.Accepted(order.get());
+            return new EngineOrderState.Accepted(order.get());
         }
         boolean refused = answer.isPresent() && !answer.get().isSuccess();
-        return refused ? new OrderAnswer.Failed() : new OrderAnswer.Unknown();
+        return refused ? new EngineOrderState.Failed() : new EngineOrderState.Unknown();
     }
 
-    private static OrderAnswer parseOrderState(Optional<BufferedResponse> answer) {
+    private static EngineOrderState parseOrderState(Optional<BufferedResponse> answer) {
         String state = answer.flatMap(BufferedResponse::json)
                 .map(json -> json.path("state").asText())
                 .orElse("");
         return switch (state) {
-            case "running" -> new OrderAnswer.Running();
-            case "done" -> new OrderAnswer.Done();
-            case "failed" -> new OrderAnswer.Failed();
-            default -> new OrderAnswer.Unknown();
+            case "running" -> new EngineOrderState.Running();
+            case "done" -> new EngineOrderState.Done();
+            case "failed" -> new EngineOrderState.Failed();
+            default -> new EngineOrderState.Unknown();
         };
     }
 
