--- a/core/src/main/java/org/quetzalshunt/core/attempt/ModelRollout.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/ModelRollout.java
@@ -160,7 +160,7 @@
     public void tick(long nowMillis) {
         if (phase == Phase.WORKING && nowMillis >= notBeforeMillis) {
             phase = Phase.ASKING;
-            outputs.accept(new RolloutOutput.AskOrder(orderId));
+            outputs.accept(new RolloutOutput.QueryOrder(orderId));
         } else if (phase == Phase.READING_BACK && nowMillis >= timeoutAtMillis) {
             onFailure(nowMillis);
         } else if (phase == Phase.RESTING && canStartStep(nowMillis)) {
@@ -216,7 +216,7 @@
         RolloutPlan.Step next = step.orElseThrow();
         phase = Phase.ORDERING;
         ordersGiven++;
-        outputs.accept(new RolloutOutput.GiveOrder(next.load(), next.model(), plan.version()));
+        outputs.accept(new RolloutOutput.SendOrder(next.load(), next.model(), plan.version()));
     }
 
     private void pollLater(long nowMillis) {
--- a/core/src/main/java/org/quetzalshunt/core/attempt/RolloutOutput.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/RolloutOutput.java
@@ -11,8 +11,8 @@
      * @param fencingToken version of the service document; an engine that checks fencing refuses a token that is lower
      *     than the highest it has accepted
      */
-    record GiveOrder(boolean load, ModelVersion model, long fencingToken) implements RolloutOutput {}
+    record SendOrder(boolean load, ModelVersion model, long fencingToken) implements RolloutOutput {}
 
     /** Query the state of an order at the engine; report with {@link ModelRollout#onOrder}. */
-    record AskOrder(String order) implements RolloutOutput {}
+    record QueryOrder(String order) implements RolloutOutput {}
 }
--- a/core/src/test/java/org/quetzalshunt/core/attempt/RolloutSimulation.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/RolloutSimulation.java
@@ -30,7 +30,7 @@
     private final Map<String, EngineOrderState> responses = new HashMap<>();
     private long highestToken = Long.MIN_VALUE;
 
-    private record OrderInProgress(String order, long endsMillis, RolloutOutput.GiveOrder given) {}
+    private record OrderInProgress(String order, long endsMillis, RolloutOutput.SendOrder given) {}
 
     ModelRollout startProcess() {
         ModelRollout[] created = new ModelRollout[1];
@@ -69,15 +69,15 @@
     private void respond(ModelRollout rollout, RolloutOutput output) {
         if (output instanceof RolloutOutput.FetchWeights fetch) {
             rollout.onWeights(weights.getOrDefault(fetch.model(), new WeightsAnswer.Ready()), now);
-        } else if (output instanceof RolloutOutput.GiveOrder given) {
+        } else if (output instanceof RolloutOutput.SendOrder given) {
             EngineOrderState answer = accept(given);
             rollout.onOrder(losesOrderResponses ? new EngineOrderState.Unknown() : answer, now);
-        } else if (output instanceof RolloutOutput.AskOrder ask) {
+        } else if (output instanceof RolloutOutput.QueryOrder ask) {
             rollout.onOrder(responses.getOrDefault(ask.order(), new EngineOrderState.Unknown()), now);
         }
     }
 
-    private EngineOrderState accept(RolloutOutput.GiveOrder given) {
+    private EngineOrderState accept(RolloutOutput.SendOrder given) {
         if (checksFencing && given.fencingToken() < highestToken) {
             return new EngineOrderState.Fenced();
         }
@@ -98,7 +98,7 @@
         }
     }
 
-    private EngineOrderState complete(RolloutOutput.GiveOrder given) {
+    private EngineOrderState complete(RolloutOutput.SendOrder given) {
         if (!given.load()) {
             loaded.remove(given.model());
             return new EngineOrderState.Done();
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/ModelRolloutExecutor.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/ModelRolloutExecutor.java
@@ -78,7 +78,7 @@
     private void perform(RolloutOutput output) {
         if (output instanceof RolloutOutput.FetchWeights fetch) {
             fetchWeights(fetch.model());
-        } else if (output instanceof RolloutOutput.GiveOrder order) {
+        } else if (output instanceof RolloutOutput.SendOrder order) {
             byte[] body = Json.bytes(orderBody(order));
             send(
                     settings.endpoint(),
@@ -87,7 +87,7 @@
                     body,
                     orderTimeoutMillis(),
                     answer -> onOrderState(parseAcceptance(answer)));
-        } else if (output instanceof RolloutOutput.AskOrder ask) {
+        } else if (output instanceof RolloutOutput.QueryOrder ask) {
             String path = ORDERS_PATH + "/" + PathSegments.encode(ask.order());
             send(
                     settings.endpoint(),
@@ -134,7 +134,7 @@
         client.send(address, method, path, headers, body, timeoutMillis, BufferedResponse.collect(receiver));
     }
 
-    private static ObjectNode orderBody(RolloutOutput.GiveOrder order) {
+    private static ObjectNode orderBody(RolloutOutput.SendOrder order) {
         return Json.object()
                 .put("order", order.load() ? "load" : "unload")
                 .put("model", order.model().model())
