--- a/core/src/main/java/org/quetzalshunt/core/attempt/ModelRollout.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/ModelRollout.java
@@ -123,8 +123,8 @@
         }
         if (answer instanceof WeightsAnswer.Ready) {
             sendOrderIfStillDue(nowMillis);
-        } else if (answer instanceof WeightsAnswer.Later later) {
-            restUntil(nowMillis + later.millis());
+        } else if (answer instanceof WeightsAnswer.RateLimited rateLimited) {
+            restUntil(nowMillis + rateLimited.millis());
         } else if (answer instanceof WeightsAnswer.Missing) {
             plan.rollBack();
             restUntil(nowMillis + RETRY_DELAY_MILLIS);
--- a/core/src/main/java/org/quetzalshunt/core/attempt/WeightsAnswer.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/WeightsAnswer.java
@@ -6,7 +6,7 @@
     record Ready() implements WeightsAnswer {}
 
     /** The store's rate limit is exceeded; retry after {@code millis}. */
-    record Later(long millis) implements WeightsAnswer {}
+    record RateLimited(long millis) implements WeightsAnswer {}
 
     /** The store does not have the version. */
     record Missing() implements WeightsAnswer {}
--- a/core/src/test/java/org/quetzalshunt/core/attempt/ModelRolloutTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/ModelRolloutTest.java
@@ -67,7 +67,7 @@
     @Test
     void rateLimitOfTheWeightStoreIsNotALoadFailure() {
         simulation.loaded.add(model(1));
-        simulation.weights.put(model(2), new WeightsAnswer.Later(20_000));
+        simulation.weights.put(model(2), new WeightsAnswer.RateLimited(20_000));
         ModelRollout rollout = simulation.startProcess();
         updateTarget(rollout, 2, true);
         simulation.advance(19_000);
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/ModelRolloutExecutor.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/ModelRolloutExecutor.java
@@ -178,7 +178,7 @@
             return new WeightsAnswer.Missing();
         }
         if (response.status() == STATUS_TOO_MANY_REQUESTS) {
-            return new WeightsAnswer.Later(response.retryAfterSeconds().orElse(1) * MILLIS_PER_SECOND);
+            return new WeightsAnswer.RateLimited(response.retryAfterSeconds().orElse(1) * MILLIS_PER_SECOND);
         }
         return response.isSuccess() ? new WeightsAnswer.Ready() : new WeightsAnswer.Unknown();
     }
