--- a/core/src/main/java/org/quetzalshunt/core/attempt/RolloutSteps.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/RolloutStagger.java
@@ -5,13 +5,13 @@
  * version. The engines then do not query the weight store all at once, a version that does not load affects only a few
  * of them first, and each version starts at a different engine.
  */
-public final class RolloutSteps {
+public final class RolloutStagger {
     /** Multiplier of Fibonacci hashing, 2^64 divided by the golden ratio; spreads values that differ little. */
     private static final long MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     private static final int HIGH_BITS = 33;
 
-    private RolloutSteps() {}
+    private RolloutStagger() {}
 
     /**
      * Returns the delay of one Vm's step, in milliseconds after the version became known to it; less than the window.
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/ModelRolloutExecutor.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/ModelRolloutExecutor.java
@@ -14,8 +14,8 @@
 import org.quetzalshunt.core.attempt.ModelRollout;
 import org.quetzalshunt.core.attempt.ModelVersion;
 import org.quetzalshunt.core.attempt.RolloutOutput;
+import org.quetzalshunt.core.attempt.RolloutStagger;
 import org.quetzalshunt.core.attempt.RolloutStatus;
-import org.quetzalshunt.core.attempt.RolloutSteps;
 import org.quetzalshunt.core.attempt.WeightsAnswer;
 import org.quetzalshunt.server.http.HttpClient;
 import org.quetzalshunt.wire.json.Json;
@@ -54,7 +54,7 @@
     void setTarget(long version, List<String> names, boolean engineChecksFencing) {
         List<ModelVersion> models = new ArrayList<>();
         names.forEach(name -> ModelVersion.parse(name).ifPresent(models::add));
-        long delayMillis = RolloutSteps.delayMillis(
+        long delayMillis = RolloutStagger.delayMillis(
                 settings.id().name(), version, settings.times().rolloutWindowMillis());
         rollout.updateTarget(version, models, engineChecksFencing, delayMillis, clock.getAsLong());
     }
