--- a/core/src/main/java/org/quetzalshunt/core/attempt/EndpointGate.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/EndpointGate.java
@@ -167,8 +167,8 @@
     }
 
     /** Returns the current statistics. */
-    public GateCounts counts() {
-        return new GateCounts(
+    public GateStatistics counts() {
+        return new GateStatistics(
                 table.runningCount(),
                 table.finishedCount(),
                 deduplicationCache.size(),
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/ReportSender.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/ReportSender.java
@@ -1,6 +1,6 @@
 package org.quetzalshunt.server.sidecar;
 
-import org.quetzalshunt.core.attempt.GateCounts;
+import org.quetzalshunt.core.attempt.GateStatistics;
 import org.quetzalshunt.core.document.ServiceKind;
 import org.quetzalshunt.server.transport.PeerLink;
 import org.quetzalshunt.wire.generated.EndpointReport;
@@ -26,7 +26,7 @@
         this.links = links;
     }
 
-    void tick(GateCounts counts, EndpointLoad load, boolean healthy, long nowMillis) {
+    void tick(GateStatistics counts, EndpointLoad load, boolean healthy, long nowMillis) {
         long sinceMillis = nowMillis - lastSentMillis;
         ReportedState current = reportedState(counts, load, healthy);
         boolean idle = current.running() == 0 && current.waiting() == 0;
@@ -38,7 +38,7 @@
         }
     }
 
-    void sendToAll(GateCounts counts, EndpointLoad load, boolean healthy, long nowMillis) {
+    void sendToAll(GateStatistics counts, EndpointLoad load, boolean healthy, long nowMillis) {
         lastSent = reportedState(counts, load, healthy);
         lastSentMillis = nowMillis;
         Message report = report(counts, load, healthy);
@@ -47,11 +47,11 @@
         }
     }
 
-    void sendTo(PeerLink link, GateCounts counts, EndpointLoad load, boolean healthy) {
+    void sendTo(PeerLink link, GateStatistics counts, EndpointLoad load, boolean healthy) {
         link.send(report(counts, load, healthy));
     }
 
-    private Message report(GateCounts counts, EndpointLoad load, boolean healthy) {
+    private Message report(GateStatistics counts, EndpointLoad load, boolean healthy) {
         ReportedState state = reportedState(counts, load, healthy);
         return Message.endpointReport(new EndpointReport(
                 settings.id().name(),
@@ -73,7 +73,7 @@
      * The engine's figures lag behind, whereas the gate counts every attempt that it sent. Attempts that the engine
      * does not report yet are counted as running while slots are free, and as waiting beyond that.
      */
-    private static ReportedState reportedState(GateCounts counts, EndpointLoad load, boolean healthy) {
+    private static ReportedState reportedState(GateStatistics counts, EndpointLoad load, boolean healthy) {
         int unreported = Math.max(0, counts.running() - load.running() - load.waiting());
         int freeSlots = load.slots() == 0 ? unreported : Math.max(0, load.slots() - load.running());
         int unreportedRunning = Math.min(unreported, freeSlots);
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/Sidecar.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/Sidecar.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import org.quetzalshunt.core.attempt.EndpointEvent;
 import org.quetzalshunt.core.attempt.EndpointGate;
-import org.quetzalshunt.core.attempt.GateCounts;
 import org.quetzalshunt.core.attempt.GateOutput;
+import org.quetzalshunt.core.attempt.GateStatistics;
 import org.quetzalshunt.core.attempt.RolloutStatus;
 import org.quetzalshunt.core.document.ServiceKind;
 import org.quetzalshunt.core.vm.VmRole;
@@ -89,7 +89,7 @@
     }
 
     private boolean isBusy() {
-        GateCounts counts = gate.counts();
+        GateStatistics counts = gate.counts();
         return counts.running() > 0 || counts.leaving();
     }
 
@@ -137,7 +137,7 @@
         return settings;
     }
 
-    GateCounts counts() {
+    GateStatistics counts() {
         return gate.counts();
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/StatusPages.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/StatusPages.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.quetzalshunt.core.attempt.GateCounts;
+import org.quetzalshunt.core.attempt.GateStatistics;
 import org.quetzalshunt.core.attempt.RolloutStatus;
 import org.quetzalshunt.server.http.HttpExchange;
 import org.quetzalshunt.server.transport.PeerLink;
@@ -48,11 +48,11 @@
         return dump;
     }
 
-    private static ObjectNode gate(GateCounts counts) {
+    private static ObjectNode gate(GateStatistics counts) {
         ObjectNode gate = Json.object();
         gate.put("running", counts.running());
         gate.put("finished", counts.finished());
-        gate.put("remembered", counts.remembered());
+        gate.put("remembered", counts.cachedResults());
         gate.put("refused", counts.refused());
         gate.put("shards", counts.shards());
         gate.put("heldPrograms", counts.heldPrograms());
