--- a/core/src/main/java/org/quetzalshunt/core/attempt/EndpointGate.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/EndpointGate.java
@@ -28,7 +28,7 @@
     private EndpointGate(GateSettings settings, Consumer<GateOutput> outputs, long nowMillis) {
         this.settings = settings;
         this.outputs = outputs;
-        this.leases = new CacheLeases(outputs, nowMillis + settings.orphanCacheMillis());
+        this.leases = new CacheLeases(outputs, nowMillis + settings.orphanCacheDelayMillis());
         this.delivery = new FrameDelivery(table, outputs);
         EngineEventHandler engineEventHandler = new EngineEventHandler(delivery, outputs);
         this.timers = new AttemptTimers(settings, table, deduplicationCache, delivery, engineEventHandler, outputs);
--- a/core/src/main/java/org/quetzalshunt/core/attempt/GateSettings.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/GateSettings.java
@@ -8,10 +8,10 @@
  * @param kind kind of service that the endpoint provides
  * @param graceMillis how long a repeatable attempt keeps running without an attached receiver
  * @param maximumRunning attempts that may run at once; a bound on memory, not the endpoint's concurrency limit
- * @param orphanCacheMillis delay after the start before cache entries without a lease are freed; one lease period,
+ * @param orphanCacheDelayMillis delay after the start before cache entries without a lease are freed; one lease period,
  *     within which every live owner renews its leases
  */
-public record GateSettings(ServiceKind kind, long graceMillis, int maximumRunning, long orphanCacheMillis) {
+public record GateSettings(ServiceKind kind, long graceMillis, int maximumRunning, long orphanCacheDelayMillis) {
     /** An entry process that lost its link reconnects within seconds, or its shards get another owner within 10 s. */
     public static final long DEFAULT_GRACE_MILLIS = 10_000;
 
