--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
@@ -103,7 +103,7 @@
         return route.kind() == RequestKind.STREAM
                 && !promptMayBeCached
                 && request.previousTurn().isEmpty()
-                && (request.line().isEmpty() || request.line().equals(request.program()));
+                && (request.conversation().isEmpty() || request.conversation().equals(request.program()));
     }
 
     /** Whether the turn needs no stored history of earlier turns. */
--- a/server/src/main/java/org/quetzalshunt/server/gateway/CallerRequest.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/CallerRequest.java
@@ -15,7 +15,7 @@
  * @param deadlineMillis the caller's timeout, counted from the arrival of the request
  * @param programLeftMillis time until its program should be finished, counted from the arrival
  * @param program program that the request belongs to
- * @param line conversation that it belongs to: a program has one of its own and one for each of its sub-agents
+ * @param conversation the one that it belongs to: a program has one of its own and one for each of its sub-agents
  * @param previousTurn id of the turn that this one continues
  * @param tokenBudget number of tokens that all turns of the program together may generate
  * @param promptTokens number of tokens of the whole prompt
@@ -31,7 +31,7 @@
         OptionalLong deadlineMillis,
         OptionalLong programLeftMillis,
         Optional<String> program,
-        Optional<String> line,
+        Optional<String> conversation,
         Optional<String> previousTurn,
         OptionalLong tokenBudget,
         OptionalLong promptTokens,
