--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
@@ -64,7 +64,7 @@
             // ready VMs.
             exchange.closeAfterAnswer();
         }
-        Optional<CallerRequest> request = gateway.dialect().request(exchange);
+        Optional<CallerRequest> request = gateway.dialect().decodeRequest(exchange);
         if (request.isEmpty()) {
             refuse(exchange, "", Refusal.notRun(ResultCode.MALFORMED_REQUEST, "the request has no id"));
             return;
--- a/server/src/main/java/org/quetzalshunt/server/gateway/BufferedForwarder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/BufferedForwarder.java
@@ -98,7 +98,7 @@
             return;
         }
         if (markFinished()) {
-            admitted.exchange().respond(status, gateway.dialect().inbound(headers), body.toByteArray());
+            admitted.exchange().respond(status, gateway.dialect().callerResponseHeaders(headers), body.toByteArray());
             ResultReporter.logResult(gateway, admitted, ResultCode.OK, "status " + status, Optional.of(call));
         }
     }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/Dialect.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/Dialect.java
@@ -13,25 +13,25 @@
  */
 public interface Dialect {
     /** Decodes a request; empty if it has no id. */
-    Optional<CallerRequest> request(HttpExchange exchange);
+    Optional<CallerRequest> decodeRequest(HttpExchange exchange);
 
     /**
      * Headers of the request to an endpoint: the caller's headers without those that only the gateway may set, plus
      * the given terms.
      */
-    HttpHeaders outbound(HttpHeaders callerHeaders, OutboundTerms terms);
+    HttpHeaders endpointRequestHeaders(HttpHeaders callerHeaders, OutboundTerms terms);
 
     /** Whether the headers of a response identify it as the response to this request. */
-    boolean answers(String requestId, HttpHeaders answerHeaders);
+    boolean isResponseTo(String requestId, HttpHeaders answerHeaders);
 
     /** Kind of an endpoint's response, by its status and headers. */
-    ResponseKind head(int status, HttpHeaders answerHeaders);
+    ResponseKind responseKind(int status, HttpHeaders answerHeaders);
 
     /** Headers of the response to the caller, from those of the endpoint's response. */
-    HttpHeaders inbound(HttpHeaders answerHeaders);
+    HttpHeaders callerResponseHeaders(HttpHeaders answerHeaders);
 
     /** Headers of an error response. */
-    HttpHeaders refusal(Refusal refusal, String requestId);
+    HttpHeaders refusalHeaders(Refusal refusal, String requestId);
 
     /** Decodes a configuration; empty if the bytes are not a valid one. */
     Optional<TrafficConfiguration> configuration(byte[] bytes);
--- a/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
@@ -257,7 +257,7 @@
 
     private OutboundRequest outboundRequest(long remainingMillis) {
         HttpHeaders headers = gateway.dialect()
-                .outbound(
+                .endpointRequestHeaders(
                         admitted.exchange().rawHeaders(),
                         new OutboundTerms(
                                 endpoint.id(),
@@ -282,7 +282,7 @@
     }
 
     private boolean isOwnResponse(HttpHeaders headers) {
-        return gateway.dialect().answers(admitted.request().id(), headers);
+        return gateway.dialect().isResponseTo(admitted.request().id(), headers);
     }
 
     /**
@@ -312,7 +312,7 @@
         @Override
         public void onHead(int status, HttpHeaders headers) {
             headersTimeout.cancel(false);
-            head = gateway.dialect().head(status, headers);
+            head = gateway.dialect().responseKind(status, headers);
             if (isForwarded()) {
                 listener.onHead(head, status, headers);
                 return;
--- a/server/src/main/java/org/quetzalshunt/server/gateway/ResultReporter.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/ResultReporter.java
@@ -36,7 +36,7 @@
     }
 
     private static void send(Gateway gateway, HttpExchange exchange, String requestId, Refusal refusal) {
-        HttpHeaders headers = gateway.dialect().refusal(refusal, requestId);
+        HttpHeaders headers = gateway.dialect().refusalHeaders(refusal, requestId);
         byte[] body = ErrorBodies.json(refusal, requestId);
         exchange.respond(refusal.code().status(), headers, body);
     }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/StreamForwarder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/StreamForwarder.java
@@ -202,7 +202,7 @@
         }
         if (!bufferedEvents.isEmpty()) {
             if (!admitted.exchange().started()) {
-                admitted.exchange().begin(status, gateway.dialect().inbound(headers));
+                admitted.exchange().begin(status, gateway.dialect().callerResponseHeaders(headers));
                 gateway.metrics().recordFirstEvent(gateway.clock().now() - admitted.arrivedMillis());
             }
             bufferedEvents.forEach(admitted.exchange()::write);
@@ -235,7 +235,8 @@
 
     private void forwardFailure() {
         markFinished();
-        admitted.exchange().respond(status, gateway.dialect().inbound(headers), failureBody.toByteArray());
+        admitted.exchange()
+                .respond(status, gateway.dialect().callerResponseHeaders(headers), failureBody.toByteArray());
         ResultReporter.logResult(gateway, admitted, ResultCode.ENDPOINT_FAILED, "status " + status, Optional.of(call));
     }
 
@@ -278,7 +279,7 @@
         }
         markFinished();
         if (!admitted.exchange().started()) {
-            admitted.exchange().begin(status, gateway.dialect().inbound(headers));
+            admitted.exchange().begin(status, gateway.dialect().callerResponseHeaders(headers));
         }
         admitted.exchange().end();
         ResultReporter.logResult(gateway, admitted, ResultCode.OK, sentEvents + " events", Optional.of(call));
--- a/server/src/test/java/org/quetzalshunt/server/gateway/EvacuationDialect.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/EvacuationDialect.java
@@ -11,32 +11,32 @@
 /** Dialect that decodes only evacuations, for tests of components that pass other bytes on unread. */
 final class EvacuationDialect implements Dialect {
     @Override
-    public Optional<CallerRequest> request(HttpExchange exchange) {
+    public Optional<CallerRequest> decodeRequest(HttpExchange exchange) {
         return Optional.empty();
     }
 
     @Override
-    public HttpHeaders outbound(HttpHeaders callerHeaders, OutboundTerms terms) {
+    public HttpHeaders endpointRequestHeaders(HttpHeaders callerHeaders, OutboundTerms terms) {
         return callerHeaders;
     }
 
     @Override
-    public boolean answers(String requestId, HttpHeaders answerHeaders) {
+    public boolean isResponseTo(String requestId, HttpHeaders answerHeaders) {
         return false;
     }
 
     @Override
-    public ResponseKind head(int status, HttpHeaders answerHeaders) {
+    public ResponseKind responseKind(int status, HttpHeaders answerHeaders) {
         return ResponseKind.INVALID;
     }
 
     @Override
-    public HttpHeaders inbound(HttpHeaders answerHeaders) {
+    public HttpHeaders callerResponseHeaders(HttpHeaders answerHeaders) {
         return answerHeaders;
     }
 
     @Override
-    public HttpHeaders refusal(Refusal refusal, String requestId) {
+    public HttpHeaders refusalHeaders(Refusal refusal, String requestId) {
         return new DefaultHttpHeaders();
     }
 
