--- a/server/src/main/java/org/quetzalshunt/server/gateway/Dialect.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/Dialect.java
@@ -19,7 +19,7 @@
      * Headers of the request to an endpoint: the caller's headers without those that only the gateway may set, plus
      * the given terms.
      */
-    HttpHeaders endpointRequestHeaders(HttpHeaders callerHeaders, OutboundTerms terms);
+    HttpHeaders endpointRequestHeaders(HttpHeaders callerHeaders, OutboundHeaderValues terms);
 
     /** Whether the headers of a response identify it as the response to this request. */
     boolean isResponseTo(String requestId, HttpHeaders answerHeaders);
--- a/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
@@ -259,7 +259,7 @@
         HttpHeaders headers = gateway.dialect()
                 .endpointRequestHeaders(
                         admitted.exchange().rawHeaders(),
-                        new OutboundTerms(
+                        new OutboundHeaderValues(
                                 endpoint.id(),
                                 remainingMillis,
                                 admitted.account().map(account -> account.name()),
--- a/server/src/main/java/org/quetzalshunt/server/gateway/OutboundTerms.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/OutboundHeaderValues.java
@@ -10,4 +10,4 @@
  * @param account client account that the API key of the request belongs to
  * @param urgency priority of the request; 0 is the most urgent
  */
-public record OutboundTerms(String endpoint, long remainingMillis, Optional<String> account, int urgency) {}
+public record OutboundHeaderValues(String endpoint, long remainingMillis, Optional<String> account, int urgency) {}
--- a/server/src/test/java/org/quetzalshunt/server/gateway/EvacuationDialect.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/EvacuationDialect.java
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public HttpHeaders endpointRequestHeaders(HttpHeaders callerHeaders, OutboundTerms terms) {
+    public HttpHeaders endpointRequestHeaders(HttpHeaders callerHeaders, OutboundHeaderValues terms) {
         return callerHeaders;
     }
 
