--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
@@ -113,7 +113,7 @@
     }
 
     private boolean isCurrent() {
-        return gateway.configuration().ageMillis() < gateway.settings().keyAgeMillis();
+        return gateway.configuration().ageMillis() < gateway.settings().maximumKeyAgeMillis();
     }
 
     /**
--- a/server/src/main/java/org/quetzalshunt/server/gateway/GatewayProcess.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/GatewayProcess.java
@@ -81,7 +81,7 @@
         RegistrationFollower registrations =
                 new RegistrationFollower(group.next(), store, dialect, clock, log, endpoints);
         PeerTable peers = PeerTable.create(settings.vm());
-        VmLease lease = VmLease.create(settings.incarnation(), IpPort.format(settings.links()));
+        VmLease lease = VmLease.create(settings.incarnation(), IpPort.format(settings.linkAddress()));
         QuotaManager quotas = new QuotaManager(store, clock, log, settings, configuration::current, peers, lease);
         fleet = new FleetFollower(group.next(), store, clock, log, settings, peers, lease, quotas::isSettled);
         PeerConnections links = new PeerConnections(
@@ -129,7 +129,7 @@
                 .put("incarnation", settings.incarnation())
                 .put("dataCentre", settings.dataCentre())
                 .put("policy", settings.policy().toString())
-                .put("callers", settings.callers().toString()));
+                .put("callers", settings.callerAddress().toString()));
         configuration.start();
         registrations.start();
         quotas.start(links);
@@ -164,8 +164,8 @@
     }
 
     private void listen() {
-        callers = HttpServer.start(group, settings.callers(), CALLER_LIMITS, pipeline::handle);
-        probes = HttpServer.start(group, settings.probes(), PROBE_LIMITS, this::probe);
+        callers = HttpServer.start(group, settings.callerAddress(), CALLER_LIMITS, pipeline::handle);
+        probes = HttpServer.start(group, settings.probeAddress(), PROBE_LIMITS, this::probe);
     }
 
     private void onConfigurationChange(TrafficConfiguration configuration) {
@@ -198,7 +198,7 @@
         return !stopping
                 && !gateway.isolatedFromStore()
                 && gateway.configuration().current().isPresent()
-                && gateway.configuration().ageMillis() < settings.keyAgeMillis()
+                && gateway.configuration().ageMillis() < settings.maximumKeyAgeMillis()
                 && gateway.registrations().everRead()
                 && !gateway.endpoints().ids().isEmpty()
                 && gateway.quotas().isLeased()
--- a/server/src/main/java/org/quetzalshunt/server/gateway/GatewaySettings.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/GatewaySettings.java
@@ -10,11 +10,11 @@
  * @param vm name of this VM
  * @param incarnation start time of this process, in Unix milliseconds, which identifies its incarnation
  * @param dataCentre data centre of this VM
- * @param callers address for callers
- * @param probes address for the balancer's probes, metrics and the state dump
- * @param links address for links from other gateways
- * @param keyAgeMillis time since the last confirmation of the configuration after which its API keys are no longer
- *     accepted
+ * @param callerAddress address for callers
+ * @param probeAddress address for the balancer's probes, metrics and the state dump
+ * @param linkAddress address for links from other gateways
+ * @param maximumKeyAgeMillis time since the last confirmation of the configuration after which its API keys are no
+ *     longer accepted
  * @param stopMillis maximum duration of a planned stop
  * @param regions region of each data centre
  * @param policy mechanisms that are enabled for decisions under load
@@ -23,17 +23,26 @@
         String vm,
         long incarnation,
         String dataCentre,
-        InetSocketAddress callers,
-        InetSocketAddress probes,
-        InetSocketAddress links,
-        long keyAgeMillis,
+        InetSocketAddress callerAddress,
+        InetSocketAddress probeAddress,
+        InetSocketAddress linkAddress,
+        long maximumKeyAgeMillis,
         long stopMillis,
         Map<String, String> regions,
         Policy policy) {
     /** A copy with another policy. */
     public GatewaySettings withPolicy(Policy other) {
         return new GatewaySettings(
-                vm, incarnation, dataCentre, callers, probes, links, keyAgeMillis, stopMillis, regions, other);
+                vm,
+                incarnation,
+                dataCentre,
+                callerAddress,
+                probeAddress,
+                linkAddress,
+                maximumKeyAgeMillis,
+                stopMillis,
+                regions,
+                other);
     }
 
     /** Identifies this incarnation of the VM in keys of the store; no other incarnation has the same id. */
