--- a/server/src/main/java/org/quetzalshunt/server/gateway/GatewayProcess.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/GatewayProcess.java
@@ -216,7 +216,7 @@
     }
 
     /** Logs the outcome of reading the settings file again. */
-    public void reloaded(String outcome) {
+    public void logReload(String outcome) {
         log.write(log.event("reload").put("outcome", outcome));
     }
 
