--- a/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
@@ -18,7 +18,7 @@
 import org.quetzalshunt.core.routing.Registration;
 import org.quetzalshunt.core.routing.RoutingRequest;
 import org.quetzalshunt.core.routing.Selection;
-import org.quetzalshunt.server.http.CallTimes;
+import org.quetzalshunt.server.http.CallTimeouts;
 import org.quetzalshunt.server.http.HttpCall;
 import org.quetzalshunt.server.http.HttpResponseListener;
 import org.quetzalshunt.server.http.IpPort;
@@ -186,7 +186,7 @@
         call = gateway.http()
                 .send(
                         outboundRequest(remainingMillis),
-                        callTimes(remainingMillis),
+                        callTimeouts(remainingMillis),
                         this::isOwnResponse,
                         new ResponseHandler());
     }
@@ -277,8 +277,9 @@
         return IpPort.parse(text).orElseThrow();
     }
 
-    private static CallTimes callTimes(long remainingMillis) {
-        return new CallTimes(Math.min(CONNECT_TIMEOUT_MILLIS, remainingMillis), remainingMillis, MAXIMUM_IDLE_MILLIS);
+    private static CallTimeouts callTimeouts(long remainingMillis) {
+        return new CallTimeouts(
+                Math.min(CONNECT_TIMEOUT_MILLIS, remainingMillis), remainingMillis, MAXIMUM_IDLE_MILLIS);
     }
 
     private boolean isOwnResponse(HttpHeaders headers) {
--- a/server/src/main/java/org/quetzalshunt/server/http/HttpClient.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/HttpClient.java
@@ -75,7 +75,7 @@
         HttpHeaders all = new DefaultHttpHeaders();
         headers.forEach(all::set);
         all.set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
-        CallTimes times = new CallTimes(CONNECT_TIMEOUT_MILLIS, timeoutMillis, NO_IDLE_LIMIT);
+        CallTimeouts times = new CallTimeouts(CONNECT_TIMEOUT_MILLIS, timeoutMillis, NO_IDLE_LIMIT);
         return send(new OutboundRequest(address, method, uri, all, body), times, ignored -> true, listener);
     }
 
@@ -86,7 +86,7 @@
      *     faulty server may answer an earlier request on the connection a second time
      */
     public HttpCall send(
-            OutboundRequest outbound, CallTimes times, Predicate<HttpHeaders> isOwn, HttpResponseListener listener) {
+            OutboundRequest outbound, CallTimeouts times, Predicate<HttpHeaders> isOwn, HttpResponseListener listener) {
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.valueOf(outbound.method()),
@@ -98,9 +98,9 @@
         InetSocketAddress address = outbound.address();
         HttpCall call = HttpCall.create(
                 listener, isOwn, (channel, keepAliveMillis) -> release(address, channel, keepAliveMillis));
-        Channel pooled = takeIdle(address, times.reuse());
+        Channel pooled = takeIdle(address, times.maximumIdleMillis());
         if (pooled != null) {
-            call.start(pooled, request, times.answer());
+            call.start(pooled, request, times.responseMillis());
             return call;
         }
         connect(address, request, times, call);
@@ -135,7 +135,7 @@
         return connectionsOpened;
     }
 
-    private void connect(InetSocketAddress address, DefaultFullHttpRequest request, CallTimes times, HttpCall call) {
+    private void connect(InetSocketAddress address, DefaultFullHttpRequest request, CallTimeouts times, HttpCall call) {
         connectionsOpened++;
         ChannelFuture connecting = new Bootstrap()
                 .group(group)
@@ -145,7 +145,7 @@
                 .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEP_ALIVE_IDLE_SECONDS)
                 .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), KEEP_ALIVE_INTERVAL_SECONDS)
                 .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), KEEP_ALIVE_PROBES)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) times.connect())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) times.connectMillis())
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
@@ -159,7 +159,7 @@
                 call.fail("cannot connect: " + result.cause().getMessage(), false);
                 return;
             }
-            call.start(connecting.channel(), request, times.answer());
+            call.start(connecting.channel(), request, times.responseMillis());
         });
     }
 
