--- a/server/src/main/java/org/quetzalshunt/server/settings/HangUp.java
+++ b/server/src/main/java/org/quetzalshunt/server/settings/SighupHandler.java
@@ -8,11 +8,11 @@
  * Handles the signal SIGHUP, which announces a change of the settings file. By default the JVM shuts down on it, so
  * that a reload would abort every request in progress.
  */
-public final class HangUp {
+public final class SighupHandler {
     private static final String SIGNAL_CLASS = "sun.misc.Signal";
     private static final String HANDLER_CLASS = "sun.misc.SignalHandler";
 
-    private HangUp() {}
+    private SighupHandler() {}
 
     /**
      * Runs an action on each SIGHUP instead of shutting down. The only signal API of the JDK is a class of its
--- a/server/src/test/java/org/quetzalshunt/server/settings/HangUpTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/settings/SighupHandlerTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-final class HangUpTest {
+final class SighupHandlerTest {
     /**
      * The platform changes a settings file and sends SIGHUP. By default the JVM shuts down on it, which aborted the
      * requests of callers. The process must keep running and run the action on each signal.
@@ -14,7 +14,7 @@
     @Test
     void signalRunsTheActionWithoutEndingTheProcess() throws Exception {
         CountDownLatch signals = new CountDownLatch(2);
-        HangUp.handle(signals::countDown);
+        SighupHandler.handle(signals::countDown);
         Class<?> signal = Class.forName("sun.misc.Signal");
         Object hangUp = signal.getConstructor(String.class).newInstance("HUP");
         for (int time = 0; time < 2; time++) {
