--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryProcess.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryProcess.java
@@ -198,7 +198,7 @@
                 .scheduler()
                 .setEntryCount(Math.max(1, membership.liveEntries().size()));
         joinPeriod.onVmListRead();
-        connector.want(peers.wantedAddresses());
+        connector.setAddresses(peers.wantedAddresses());
     }
 
     private void onLink(LinkEventAdapter.Event event) {
--- a/server/src/main/java/org/quetzalshunt/server/gateway/PeerConnections.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/PeerConnections.java
@@ -136,7 +136,7 @@
                 IpPort.parse(heartbeat.linkAddress()).ifPresent(addresses::add);
             }
         });
-        connector.want(addresses);
+        connector.setAddresses(addresses);
     }
 
     private Optional<PeerLink> link(String vm) {
--- a/server/src/main/java/org/quetzalshunt/server/transport/LinkConnector.java
+++ b/server/src/main/java/org/quetzalshunt/server/transport/LinkConnector.java
@@ -35,7 +35,7 @@
     }
 
     /** Sets the addresses to keep links to; closes the links to all others. */
-    public void want(Set<InetSocketAddress> addresses) {
+    public void setAddresses(Set<InetSocketAddress> addresses) {
         for (InetSocketAddress address : Set.copyOf(links.keySet())) {
             if (!addresses.contains(address)) {
                 links.remove(address).close();
--- a/server/src/test/java/org/quetzalshunt/server/sidecar/FakeEntry.java
+++ b/server/src/test/java/org/quetzalshunt/server/sidecar/FakeEntry.java
@@ -50,8 +50,8 @@
         FakeEntry entry = new FakeEntry(id, secret);
         entry.group
                 .next()
-                .execute(() ->
-                        entry.connector.want(Set.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))));
+                .execute(() -> entry.connector.setAddresses(
+                        Set.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))));
         return entry;
     }
 
