--- a/server/src/main/java/org/quetzalshunt/server/gateway/PeerConnections.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/PeerConnections.java
@@ -114,7 +114,7 @@
         LinkIdentity self =
                 new LinkIdentity(VmId.of(settings.vm(), settings.incarnation()), VmRole.ENTRY, settings.dataCentre());
         LinkSettings linkSettings = new LinkSettings(self, secret, BroadcastInterval.PEER_TIMEOUT_MILLIS);
-        LinkServer.startLater(group, settings.linkAddress(), linkSettings, this);
+        LinkServer.startAsync(group, settings.linkAddress(), linkSettings, this);
         connector = LinkConnector.create(group, linkSettings, this);
         broadcast.start();
     }
--- a/server/src/main/java/org/quetzalshunt/server/transport/LinkServer.java
+++ b/server/src/main/java/org/quetzalshunt/server/transport/LinkServer.java
@@ -27,7 +27,7 @@
     /**
      * Binds without blocking, for callers on the event loop. A failure to bind is logged, and no link is then accepted.
      */
-    public static void startLater(
+    public static void startAsync(
             EventLoopGroup group, InetSocketAddress address, LinkSettings settings, LinkListener listener) {
         bind(group, address, settings, listener).addListener(bound -> {
             if (!bound.isSuccess()) {
