--- a/standin/src/main/java/org/quetzalshunt/standin/EngineCommand.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/EngineCommand.java
@@ -19,7 +19,7 @@
         mixinStandardHelpOptions = true,
         description = "Model engine with continuous batching and a prefix cache.")
 final class EngineCommand implements Callable<Integer> {
-    private static final int EXIT_CODE_OF_A_HALT = 70;
+    private static final int HALT_EXIT_CODE = 70;
 
     @Spec
     private CommandSpec command;
@@ -31,13 +31,13 @@
             names = "--models",
             split = ",",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_MODELS:-standin@1}",
-            description = "what is loaded at the start, as model@version (default: ${DEFAULT-VALUE})")
+            description = "models that are loaded at the start, as model@version (default: ${DEFAULT-VALUE})")
     private List<String> models;
 
     @Option(
             names = "--loaded-models-only",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_LOADED_MODELS_ONLY:-false}",
-            description = "answer 404 for a model that is not loaded")
+            description = "answer requests for a model that is not loaded with status 404")
     private boolean loadedModelsOnly;
 
     @Option(
@@ -49,25 +49,26 @@
     @Option(
             names = "--slots",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_SLOTS:-8}",
-            description = "requests that run at once (default: ${DEFAULT-VALUE})")
+            description = "maximum number of requests that run concurrently (default: ${DEFAULT-VALUE})")
     private int slots;
 
     @Option(
             names = "--waiting-limit",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_WAITING_LIMIT:-256}",
-            description = "requests that wait for a slot; over it, 503 (default: ${DEFAULT-VALUE})")
+            description =
+                    "maximum number of requests that wait for a slot; further ones get status 503 (default: ${DEFAULT-VALUE})")
     private int waitingLimit;
 
     @Option(
             names = "--prefill-tokens-per-second",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_PREFILL_TOKENS_PER_SECOND:-10000}",
-            description = "speed of reading uncached prompt tokens (default: ${DEFAULT-VALUE})")
+            description = "prefill rate for prompt tokens outside the cache (default: ${DEFAULT-VALUE})")
     private int prefillTokensPerSecond;
 
     @Option(
             names = "--prefill-chunk-tokens",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_PREFILL_CHUNK_TOKENS:-512}",
-            description = "prompt tokens read in one step at most (default: ${DEFAULT-VALUE})")
+            description = "number of prompt tokens processed in one step, at most (default: ${DEFAULT-VALUE})")
     private int prefillChunkTokens;
 
     @Option(
@@ -79,31 +80,31 @@
     @Option(
             names = "--step-micros-per-stream",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_STEP_MICROS_PER_STREAM:-500}",
-            description = "what each running stream adds to it (default: ${DEFAULT-VALUE})")
+            description = "microseconds that each running stream adds to a step (default: ${DEFAULT-VALUE})")
     private long stepMicrosPerStream;
 
     @Option(
             names = "--cache-tokens",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_CACHE_TOKENS:-200000}",
-            description = "size of the prefix cache (default: ${DEFAULT-VALUE})")
+            description = "size of the prefix cache in tokens (default: ${DEFAULT-VALUE})")
     private int cacheTokens;
 
     @Option(
             names = "--cache-event-lag-millis",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_CACHE_EVENT_LAG_MILLIS:-500}",
-            description = "time until a cache event shows (default: ${DEFAULT-VALUE})")
+            description = "time in milliseconds until a cache event is visible (default: ${DEFAULT-VALUE})")
     private long cacheEventLagMillis;
 
     @Option(
             names = "--lost-cache-event-every",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_LOST_CACHE_EVENT_EVERY:-20}",
-            description = "every so many cache events one is lost; 0: none (default: ${DEFAULT-VALUE})")
+            description = "one in this many cache events is lost; 0: none (default: ${DEFAULT-VALUE})")
     private int lostCacheEventEvery;
 
     @Option(
             names = "--transfer-tokens-per-second",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_TRANSFER_TOKENS_PER_SECOND:-100000}",
-            description = "speed of cache export and import (default: ${DEFAULT-VALUE})")
+            description = "rate of cache export and import (default: ${DEFAULT-VALUE})")
     private int transferTokensPerSecond;
 
     @Option(
@@ -111,38 +112,38 @@
             negatable = true,
             defaultValue = "${env:QUETZALSHUNT_STANDIN_FENCING:-true}",
             fallbackValue = "true",
-            description = "refuse orders with an old fencing token (default: ${DEFAULT-VALUE})")
+            description = "refuse orders with an outdated fencing token (default: ${DEFAULT-VALUE})")
     private boolean fencing;
 
     @Option(
             names = "--order-millis",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_ORDER_MILLIS:-2000}",
-            description = "time that an order takes (default: ${DEFAULT-VALUE})")
+            description = "time in milliseconds that an order takes (default: ${DEFAULT-VALUE})")
     private long orderMillis;
 
     @Option(
             names = "--order-fails-every",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_ORDER_FAILS_EVERY:-0}",
-            description = "every so many orders one fails; 0: none (default: ${DEFAULT-VALUE})")
+            description = "one in this many orders fails; 0: none (default: ${DEFAULT-VALUE})")
     private int orderFailsEvery;
 
     @Option(
             names = "--load-lag-millis",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_LOAD_LAG_MILLIS:-300}",
-            description = "age of the load report (default: ${DEFAULT-VALUE})")
+            description = "age of the load report in milliseconds (default: ${DEFAULT-VALUE})")
     private long loadLagMillis;
 
     @Option(
             names = "--resume-millis",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_RESUME_MILLIS:-10000}",
-            description = "how long a request can be resumed (default: ${DEFAULT-VALUE})")
+            description = "time in milliseconds for which a request can be resumed (default: ${DEFAULT-VALUE})")
     private long resumeMillis;
 
     @Override
     public Integer call() {
         check();
         EngineSettings settings = settings();
-        Runnable halt = () -> Runtime.getRuntime().halt(EXIT_CODE_OF_A_HALT);
+        Runnable halt = () -> Runtime.getRuntime().halt(HALT_EXIT_CODE);
         return listen.serve((group, address) ->
                 EngineStandin.start(group, address, settings, halt).port());
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/ListenOptions.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/ListenOptions.java
@@ -8,7 +8,7 @@
 import org.quetzalshunt.wire.json.Json;
 import picocli.CommandLine.Option;
 
-/** Where a stand-in listens, and how its process says that it is ready. */
+/** Options for the address of a stand-in, and the start of its server. */
 final class ListenOptions {
     @Option(
             names = "--host",
@@ -19,10 +19,10 @@
     @Option(
             names = "--port",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_PORT:-0}",
-            description = "port to listen on; 0 takes a free one (default: ${DEFAULT-VALUE})")
+            description = "port to listen on; 0 selects a free one (default: ${DEFAULT-VALUE})")
     private int port;
 
-    /** Starts on an event loop of its own, prints {@code {"ready":true,"port":N}}, and stays until SIGTERM. */
+    /** Starts the server on its own event loop, prints {@code {"ready":true,"port":N}} and blocks until SIGTERM. */
     int serve(BiFunction<EventLoopGroup, InetSocketAddress, Integer> start) {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         int bound = start.apply(group, new InetSocketAddress(host, port));
--- a/standin/src/main/java/org/quetzalshunt/standin/PlatformCommand.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/PlatformCommand.java
@@ -24,37 +24,37 @@
     @Option(
             names = "--appends-per-second",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_APPENDS_PER_SECOND:-400}",
-            description = "cap on appends over all streams (default: ${DEFAULT-VALUE})")
+            description = "limit on appends per second of all streams together (default: ${DEFAULT-VALUE})")
     private int appendsPerSecond;
 
     @Option(
             names = "--retention-millis",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_RETENTION_MILLIS:-600000}",
-            description = "age at which records are dropped (default: ${DEFAULT-VALUE})")
+            description = "age in milliseconds at which records are dropped (default: ${DEFAULT-VALUE})")
     private long retentionMillis;
 
     @Option(
             names = "--vm-list-lag-millis",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_VM_LIST_LAG_MILLIS:-1000}",
-            description = "time until a change shows in the VM list (default: ${DEFAULT-VALUE})")
+            description = "time in milliseconds until a change is visible in the VM list (default: ${DEFAULT-VALUE})")
     private long vmListLagMillis;
 
     @Option(
             names = "--weight-load-millis",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_WEIGHT_LOAD_MILLIS:-500}",
-            description = "time of one load from the weight store (default: ${DEFAULT-VALUE})")
+            description = "time in milliseconds of one load from the weight store (default: ${DEFAULT-VALUE})")
     private long weightLoadMillis;
 
     @Option(
             names = "--weight-loads-per-second",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_WEIGHT_LOADS_PER_SECOND:-2}",
-            description = "rate of the weight store (default: ${DEFAULT-VALUE})")
+            description = "limit on loads per second from the weight store (default: ${DEFAULT-VALUE})")
     private double weightLoadsPerSecond;
 
     @Option(
             names = "--missing-weights",
             split = ",",
-            description = "versions that the weight store lacks, as model/version")
+            description = "versions that are absent from the weight store, as model/version")
     private Set<String> missingWeights = Set.of();
 
     @Override
--- a/standin/src/main/java/org/quetzalshunt/standin/ServiceCommand.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/ServiceCommand.java
@@ -12,7 +12,7 @@
 @Command(
         name = "service",
         mixinStandardHelpOptions = true,
-        description = "Plain service that answers any call with what it got and how often it ran it.")
+        description = "Plain service that answers any call with its request data and how often it ran the call.")
 final class ServiceCommand implements Callable<Integer> {
     @Spec
     private CommandSpec command;
@@ -23,7 +23,7 @@
     @Option(
             names = "--call-millis",
             defaultValue = "${env:QUETZALSHUNT_STANDIN_CALL_MILLIS:-20}",
-            description = "time of each call (default: ${DEFAULT-VALUE})")
+            description = "time of each call in milliseconds (default: ${DEFAULT-VALUE})")
     private long callMillis;
 
     @Override
--- a/standin/src/main/java/org/quetzalshunt/standin/SettingCheck.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/SettingCheck.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.ParameterException;
 
-/** Checks of settings at the start. A wrong one is refused by name of its flag before anything starts. */
+/** Checks the values of options before the server starts. The error message names the option. */
 final class SettingCheck {
     private final CommandSpec command;
 
@@ -20,6 +20,6 @@
             return this;
         }
         throw new ParameterException(
-                command.commandLine(), flag + " is " + value + "; expected a number from " + minimum + " on");
+                command.commandLine(), flag + " is " + value + "; expected a number of " + minimum + " or more");
     }
 }
--- a/standin/src/main/java/org/quetzalshunt/standin/StandinCommand.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/StandinCommand.java
@@ -2,13 +2,13 @@
 
 import picocli.CommandLine.Command;
 
-/** {@code quetzalshunt standin}: one stand-in as a process of its own. */
+/** {@code quetzalshunt standin}: runs one stand-in as a separate process. */
 @Command(
         name = "standin",
         mixinStandardHelpOptions = true,
-        description = "Runs a stand-in of the platform, of a model engine or of a plain service.",
+        description = "Runs a stand-in for the platform, a model engine or a plain service.",
         subcommands = {PlatformCommand.class, EngineCommand.class, ServiceCommand.class})
 public final class StandinCommand {
-    /** Made by picocli. */
+    /** Called by picocli. */
     public StandinCommand() {}
 }
--- a/standin/src/main/java/org/quetzalshunt/standin/control/Fault.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/control/Fault.java
@@ -1,30 +1,30 @@
 package org.quetzalshunt.standin.control;
 
 /**
- * One fault as it is ordered.
+ * A fault to inject.
  *
- * @param kind what goes wrong
- * @param count how many requests it hits; 0 until it is cleared
- * @param millis how long a timed fault lasts (0 until cleared), or the delay that a slow one adds
- * @param text for {@link FaultKind#POISON}: what a request's text must contain
+ * @param kind kind of the failure
+ * @param count number of requests that it applies to; 0: every request until the fault is cleared
+ * @param millis duration of a timed fault (0: until it is cleared), or the delay that {@link FaultKind#SLOW} adds
+ * @param text for {@link FaultKind#POISON}: text in a request that triggers the fault
  */
 public record Fault(FaultKind kind, int count, long millis, String text) {
-    /** A fault that stays until it is cleared. */
+    /** Creates a fault that stays active until it is cleared. */
     public static Fault untilCleared(FaultKind kind) {
         return new Fault(kind, 0, 0, "");
     }
 
-    /** A fault that hits the next requests only. */
+    /** Creates a fault that applies to the next {@code count} requests. */
     public static Fault next(FaultKind kind, int count) {
         return new Fault(kind, count, 0, "");
     }
 
-    /** A fault with a length or delay. */
+    /** Creates a fault with a duration or a delay. */
     public static Fault lasting(FaultKind kind, long millis) {
         return new Fault(kind, 0, millis, "");
     }
 
-    /** Makes any request that contains the text end the process. */
+    /** Creates a fault by which every request that contains the text halts the process. */
     public static Fault poison(String text) {
         return new Fault(FaultKind.POISON, 0, 0, text);
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/control/RateBucket.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/control/RateBucket.java
@@ -1,6 +1,6 @@
 package org.quetzalshunt.standin.control;
 
-/** Token bucket over milliseconds: so many a second, with a burst. */
+/** Token bucket that limits the rate of requests, with a clock in milliseconds. */
 public final class RateBucket {
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
@@ -16,12 +16,12 @@
         this.lastMillis = nowMillis;
     }
 
-    /** A full bucket. */
+    /** Creates a full bucket. */
     public static RateBucket full(double perSecond, double burst, long nowMillis) {
         return new RateBucket(perSecond, burst, nowMillis);
     }
 
-    /** Takes one token if there is one. */
+    /** Takes one token; false if none is available. */
     public boolean take(long nowMillis) {
         double refilled = tokens + (nowMillis - lastMillis) * perSecond / MILLIS_PER_SECOND;
         tokens = Math.min(burst, refilled);
--- a/standin/src/main/java/org/quetzalshunt/standin/control/Run.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/control/Run.java
@@ -4,7 +4,7 @@
 import org.quetzalshunt.server.http.HttpExchange;
 import org.quetzalshunt.wire.json.Json;
 
-/** One request that a stand-in ran, with the names by which a checker can find it. */
+/** One request that a stand-in executed, with the identifiers by which a checker finds it. */
 public final class Run {
     private final String id;
     private final String idempotencyKey;
@@ -33,28 +33,27 @@
                 startedMillis);
     }
 
-    /** A run outside of any book, for parts that are tried without a server. */
-    public static Run unnamed() {
+    /** Creates a run that is in no log, for tests of components without a server. */
+    public static Run unlogged() {
         return new Run("", "", "", "", "", 0);
     }
 
-    /** Value of {@code X-Request-Id}, or one made here. */
+    /** Value of {@code X-Request-Id}, or a generated id if the request has none. */
     public String id() {
         return id;
     }
 
-    /** Value of {@code Idempotency-Key}; empty when none came. */
+    /** Value of {@code Idempotency-Key}; empty if the request has none. */
     public String idempotencyKey() {
         return idempotencyKey;
     }
 
-    /** How far it came. */
+    /** Current state. */
     public RunState state() {
         return state;
     }
 
-    /** Notes how far it came. */
-    public void mark(RunState newState) {
+    public void setState(RunState newState) {
         state = newState;
     }
 
--- a/standin/src/main/java/org/quetzalshunt/standin/control/RunBook.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/control/RunLog.java
@@ -13,45 +13,48 @@
 import org.quetzalshunt.server.http.HttpExchange;
 import org.quetzalshunt.wire.json.Json;
 
-/** Every run since the start and every header line seen; bounded, the newest kept. */
-public final class RunBook {
+/**
+ * Log of the requests that a stand-in has executed and of the distinct header lines that it has received. Both are
+ * bounded: the oldest entries are removed first.
+ */
+public final class RunLog {
     private static final int MAXIMUM_RUNS = 100_000;
     private static final int MAXIMUM_HEADER_LINES = 100_000;
 
     private final LongSupplier clockMillis;
     private final Deque<Run> runs = new ArrayDeque<>();
-    private final Object2IntCounterMap<String> runsByKey = new Object2IntCounterMap<>(0);
+    private final Object2IntCounterMap<String> runCountsByKey = new Object2IntCounterMap<>(0);
     private final Set<String> headerLines = new LinkedHashSet<>();
     private long sequence;
 
-    private RunBook(LongSupplier clockMillis) {
+    private RunLog(LongSupplier clockMillis) {
         this.clockMillis = clockMillis;
     }
 
-    /** An empty book. */
-    public static RunBook create(LongSupplier clockMillis) {
-        return new RunBook(clockMillis);
+    /** Creates an empty log. */
+    public static RunLog create(LongSupplier clockMillis) {
+        return new RunLog(clockMillis);
     }
 
-    /** Notes that a request begins to run. */
+    /** Records that the execution of a request starts. */
     public Run start(HttpExchange exchange) {
         sequence++;
         String id = exchange.header("X-Request-Id").orElse("run-" + sequence);
         Run run = Run.of(id, exchange, clockMillis.getAsLong());
         runs.addLast(run);
-        runsByKey.incrementAndGet(run.idempotencyKey());
+        runCountsByKey.incrementAndGet(run.idempotencyKey());
         if (runs.size() > MAXIMUM_RUNS) {
-            runsByKey.decrementAndGet(runs.removeFirst().idempotencyKey());
+            runCountsByKey.decrementAndGet(runs.removeFirst().idempotencyKey());
         }
         return run;
     }
 
-    /** How many runs had this idempotency key. */
+    /** Number of logged runs with this idempotency key. */
     public int count(String idempotencyKey) {
-        return runsByKey.get(idempotencyKey);
+        return runCountsByKey.get(idempotencyKey);
     }
 
-    void sawHeaders(HttpExchange exchange) {
+    void recordHeaders(HttpExchange exchange) {
         for (Map.Entry<String, String> header : exchange.headers()) {
             headerLines.add(header.getKey() + ": " + header.getValue());
         }
--- a/standin/src/main/java/org/quetzalshunt/standin/control/RunState.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/control/RunState.java
@@ -2,12 +2,12 @@
 
 import java.util.Locale;
 
-/** How far a run came. */
+/** State of a run. */
 public enum RunState {
     RUNNING,
     DONE,
     CANCELLED,
-    /** The run was executed, in whole or in part, and its connection was closed before the answer ended. */
+    /** The request was executed completely or in part, and its connection was closed before the end of the response. */
     CUT;
 
     /** Name in {@code GET /standin/runs}. */
--- a/standin/src/main/java/org/quetzalshunt/standin/control/package-info.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/control/package-info.java
@@ -1,2 +1,2 @@
-/** What every stand-in shares: its HTTP frame, faults set at run time, and the record of what it ran. */
+/** Parts shared by all stand-ins: the HTTP server, fault injection at run time, and the log of executed requests. */
 package org.quetzalshunt.standin.control;
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/Batch.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/Batch.java
@@ -10,8 +10,9 @@
 import org.quetzalshunt.standin.control.RunState;
 
 /**
- * Continuous batching: in each step every running stream gets one word, and a bounded number of prompt tokens is read.
- * A free slot goes to the most urgent request that waits, the oldest among equals; a running one is never pushed out.
+ * Scheduler with continuous batching. Each step emits one word for every run whose prefill is complete and prefills a
+ * bounded number of prompt tokens. A free slot goes to the waiting request with the highest priority, the oldest one
+ * among equals. A running request is never preempted.
  */
 final class Batch {
     private static final Comparator<Waiting> MOST_URGENT_FIRST = Comparator.<Waiting>comparingInt(
@@ -39,7 +40,7 @@
         return new Batch(loop, settings, clockMillis, hooks);
     }
 
-    boolean full() {
+    boolean isFull() {
         return waiting.size() >= settings.waitingLimit();
     }
 
@@ -63,18 +64,18 @@
     }
 
     void cancel(EngineRun run, RunState state) {
-        run.breakOff(state);
+        run.abort(state);
         running.remove(run);
         waiting.removeIf(candidate -> candidate.run() == run);
     }
 
-    /** Ends everything at once, as a crash does. */
-    void breakOffAll() {
+    /** Aborts all running and waiting requests, as a crash of the engine does. */
+    void abortAll() {
         List<EngineRun> all = new ArrayList<>(running);
         waiting.forEach(candidate -> all.add(candidate.run()));
         running.clear();
         waiting.clear();
-        all.forEach(run -> run.breakOff(RunState.CUT));
+        all.forEach(run -> run.abort(RunState.CUT));
     }
 
     private void beginStep() {
@@ -100,7 +101,7 @@
         loop.schedule(() -> endStep(streams, prefills), micros, TimeUnit.MICROSECONDS);
     }
 
-    /** A run whose prompt is read in this step gives its first word at its end, as the read itself yields it. */
+    /** A run whose prefill ends in this step emits its first word in the same step, since prefill computes that word. */
     private void endStep(List<EngineRun> streams, List<Prefill> prefills) {
         for (Prefill prefill : prefills) {
             prefill.run().prefill(prefill.tokens());
@@ -121,7 +122,7 @@
         if (run.emit(nowMillis, hooks.extraMillis().getAsLong())) {
             wordsEmitted++;
         }
-        if (!run.lastWordOut()) {
+        if (!run.allWordsEmitted()) {
             return;
         }
         running.remove(run);
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/BatchHooks.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/BatchHooks.java
@@ -5,12 +5,12 @@
 import java.util.function.ToIntFunction;
 
 /**
- * What the batch asks and tells.
+ * Callbacks by which {@link Batch} queries and notifies the engine.
  *
- * @param extraMillis what is added between the words of every stream now
- * @param cachedTokens asked when a run gets its slot: prompt tokens that need no reading
- * @param finished told after a run's last word
- * @param stepped told after each step
+ * @param extraMillis present additional delay between two words of every stream
+ * @param cachedTokens number of prompt tokens that need no prefill; called when a run gets a slot
+ * @param finished called after the last word of a run
+ * @param stepped called after each step
  */
 record BatchHooks(
         LongSupplier extraMillis,
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/BatchSettings.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/BatchSettings.java
@@ -1,15 +1,15 @@
 package org.quetzalshunt.standin.engine;
 
 /**
- * Speed and size of the batch.
+ * Speed and capacity of the batch.
  *
- * @param slots requests that run at once
- * @param waitingLimit requests that wait for a slot; over it, 503
- * @param prefillTokensPerSecond speed at which prompt tokens outside the cache are read
- * @param prefillChunkTokens prompt tokens read in one step at most, so that a long prompt slows the streams that run
- *     beside it and does not stop them
- * @param stepMicros time of one step, which gives each running stream one token, in microseconds
- * @param stepMicrosPerStream what each running stream adds to a step, in microseconds
+ * @param slots maximum number of requests that run concurrently
+ * @param waitingLimit maximum number of requests that wait for a slot; further ones get status 503
+ * @param prefillTokensPerSecond prefill rate for prompt tokens outside the cache
+ * @param prefillChunkTokens maximum number of prompt tokens processed in one step, so that a long prompt slows the other
+ *     streams down and does not stop them
+ * @param stepMicros duration of one step, in which each running stream emits one token, in microseconds
+ * @param stepMicrosPerStream time that each running stream adds to a step, in microseconds
  */
 public record BatchSettings(
         int slots,
@@ -25,18 +25,18 @@
         return new BatchSettings(8, 256, 10_000, 512, 12_000, 500);
     }
 
-    /** Steps of a millisecond, for tests. */
+    /** Steps of one millisecond, for tests. */
     public static BatchSettings quick() {
         return new BatchSettings(8, 256, 1_000_000, 4_096, 1_000, 0);
     }
 
-    /** The same with another number of slots. */
+    /** Copy with another number of slots. */
     public BatchSettings withSlots(int value) {
         return new BatchSettings(
                 value, waitingLimit, prefillTokensPerSecond, prefillChunkTokens, stepMicros, stepMicrosPerStream);
     }
 
-    /** Time of a step that carries so many streams and reads so many prompt tokens. */
+    /** Duration of a step with this number of streams and of prompt tokens to prefill. */
     long stepMicros(int streams, int prefillTokens) {
         return stepMicros + stepMicrosPerStream * streams + prefillTokens * MICROS_PER_SECOND / prefillTokensPerSecond;
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/CacheEvents.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/CacheEvents.java
@@ -7,9 +7,9 @@
 import java.util.function.LongSupplier;
 import org.quetzalshunt.wire.json.Json;
 
-/** Cache events, shown late; some are lost, which readers see as gaps in the sequence. */
+/** Events of the prefix cache, visible after a delay. Some are lost, which readers detect as gaps in the sequence. */
 final class CacheEvents {
-    private static final int MAXIMUM_KEPT = 10_000;
+    private static final int MAXIMUM_EVENTS = 10_000;
 
     private final CacheSettings settings;
     private final LongSupplier clockMillis;
@@ -57,7 +57,7 @@
             return;
         }
         events.addLast(new Event(number, kind, key, tokens, clockMillis.getAsLong()));
-        if (events.size() > MAXIMUM_KEPT) {
+        if (events.size() > MAXIMUM_EVENTS) {
             events.removeFirst();
         }
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/CacheCalls.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/CacheHandler.java
@@ -7,24 +7,27 @@
 import org.quetzalshunt.server.http.HttpExchange;
 import org.quetzalshunt.standin.control.StandinServer;
 
-/** Calls on single cache entries: free, export, import. Export and import take time by the entry's size. */
-final class CacheCalls {
+/**
+ * HTTP calls on single cache entries: free, export and import. The duration of an export or import is proportional to the
+ * size of the entry.
+ */
+final class CacheHandler {
     static final String PREFIX = "/engine/cache/";
     private static final long MILLIS_PER_SECOND = 1_000;
-    private static final Map<String, String> OCTETS = Map.of("content-type", "application/octet-stream");
+    private static final Map<String, String> OCTET_STREAM_HEADERS = Map.of("content-type", "application/octet-stream");
 
     private final EventLoop loop;
     private final CacheSettings settings;
     private final PrefixCache cache;
 
-    private CacheCalls(EventLoop loop, CacheSettings settings, PrefixCache cache) {
+    private CacheHandler(EventLoop loop, CacheSettings settings, PrefixCache cache) {
         this.loop = loop;
         this.settings = settings;
         this.cache = cache;
     }
 
-    static CacheCalls create(EventLoop loop, CacheSettings settings, PrefixCache cache) {
-        return new CacheCalls(loop, settings, cache);
+    static CacheHandler create(EventLoop loop, CacheSettings settings, PrefixCache cache) {
+        return new CacheHandler(loop, settings, cache);
     }
 
     void handle(HttpExchange exchange) {
@@ -34,23 +37,23 @@
                 cache.free(key);
                 exchange.respond(204, Map.of(), new byte[0]);
             }
-            case "GET" -> export(exchange, key);
-            case "PUT" -> restore(exchange, key);
+            case "GET" -> exportEntry(exchange, key);
+            case "PUT" -> importEntry(exchange, key);
             default -> StandinServer.error(exchange, 405, "use GET, PUT or DELETE");
         }
     }
 
-    private void export(HttpExchange exchange, String key) {
+    private void exportEntry(HttpExchange exchange, String key) {
         Optional<Prefix> prefix = cache.export(key);
         if (prefix.isEmpty()) {
             StandinServer.error(exchange, 404, "no such entry");
             return;
         }
         byte[] octets = prefix.get().toBytes();
-        afterTransfer(prefix.get(), () -> exchange.respond(200, OCTETS, octets));
+        afterTransfer(prefix.get(), () -> exchange.respond(200, OCTET_STREAM_HEADERS, octets));
     }
 
-    private void restore(HttpExchange exchange, String key) {
+    private void importEntry(HttpExchange exchange, String key) {
         Optional<Prefix> prefix = Prefix.fromBytes(exchange.body());
         if (prefix.isEmpty()) {
             StandinServer.error(exchange, 422, "not an exported entry");
@@ -58,7 +61,7 @@
         }
         afterTransfer(prefix.get(), () -> {
             if (!cache.store(key, prefix.get(), true)) {
-                StandinServer.error(exchange, 507, "held entries leave no room");
+                StandinServer.error(exchange, 507, "cache capacity is taken by held entries");
                 return;
             }
             exchange.respond(204, Map.of(), new byte[0]);
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/ChatBodies.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/ChatBodies.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import org.quetzalshunt.wire.json.Json;
 
-/** Chat completion objects and their chunks (OpenAI API), chunks as server-sent events (WHATWG HTML, section 9.2). */
+/** Builds chat completion objects (OpenAI API) and their chunks as server-sent events (WHATWG HTML, section 9.2). */
 final class ChatBodies {
     static final byte[] DONE_EVENT = "data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8);
 
@@ -32,7 +32,7 @@
         return Json.bytes(root);
     }
 
-    /** Event of one word; the first also names the role. */
+    /** Event with one word. The event of the first word also contains the role. */
     byte[] wordEvent(StandinAnswer answer, int index) {
         ObjectNode root = frame("chat.completion.chunk");
         ObjectNode choice = root.putArray("choices").addObject().put("index", 0);
@@ -79,7 +79,7 @@
     }
 
     private static String finishReason(StandinAnswer answer) {
-        return answer.whole() ? "stop" : "length";
+        return answer.complete() ? "stop" : "length";
     }
 
     private static byte[] event(JsonNode node) {
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/ChatCalls.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/ChatHandler.java
@@ -7,33 +7,33 @@
 import java.util.concurrent.TimeUnit;
 import org.quetzalshunt.server.http.HttpExchange;
 import org.quetzalshunt.standin.control.Fault;
+import org.quetzalshunt.standin.control.FaultInjector;
 import org.quetzalshunt.standin.control.FaultKind;
-import org.quetzalshunt.standin.control.FaultSwitches;
 import org.quetzalshunt.standin.control.Run;
-import org.quetzalshunt.standin.control.RunBook;
+import org.quetzalshunt.standin.control.RunLog;
 import org.quetzalshunt.standin.control.RunState;
 import org.quetzalshunt.standin.control.StandinServer;
 
-/** Chat completions with resume and cancel. */
-final class ChatCalls {
+/** HTTP calls for chat completions, and for the resume and cancel of a completion by its request id. */
+final class ChatHandler {
     private static final String PREFIX = "/engine/requests/";
     private static final long MILLIS_PER_SECOND = 1_000;
 
     private final EventLoop loop;
     private final EngineSettings settings;
-    private final FaultSwitches faults;
-    private final RunBook runs;
+    private final FaultInjector faults;
+    private final RunLog runs;
     private final Batch batch;
-    private final OrderDesk orders;
-    private final Map<String, EngineRun> known = new HashMap<>();
+    private final OrderHandler orders;
+    private final Map<String, EngineRun> resumableRuns = new HashMap<>();
 
-    private ChatCalls(
+    private ChatHandler(
             EventLoop loop,
             EngineSettings settings,
-            FaultSwitches faults,
-            RunBook runs,
+            FaultInjector faults,
+            RunLog runs,
             Batch batch,
-            OrderDesk orders) {
+            OrderHandler orders) {
         this.loop = loop;
         this.settings = settings;
         this.faults = faults;
@@ -42,14 +42,14 @@
         this.orders = orders;
     }
 
-    static ChatCalls create(
+    static ChatHandler create(
             EventLoop loop,
             EngineSettings settings,
-            FaultSwitches faults,
-            RunBook runs,
+            FaultInjector faults,
+            RunLog runs,
             Batch batch,
-            OrderDesk orders) {
-        return new ChatCalls(loop, settings, faults, runs, batch, orders);
+            OrderHandler orders) {
+        return new ChatHandler(loop, settings, faults, runs, batch, orders);
     }
 
     void complete(HttpExchange exchange, ChatRequest request) {
@@ -57,63 +57,65 @@
             StandinServer.error(exchange, 404, "the model is not loaded");
             return;
         }
-        if (batch.full()) {
-            StandinServer.error(exchange, 503, "too many requests wait");
+        if (batch.isFull()) {
+            StandinServer.error(exchange, 503, "too many waiting requests");
             return;
         }
         Run record = runs.start(exchange);
         EngineRun run = create(request, record);
         boolean resumable = exchange.header("X-Request-Id").isPresent();
-        Runnable whenGone = resumable ? () -> awaitResume(run) : () -> batch.cancel(run, RunState.CANCELLED);
+        Runnable onDisconnect =
+                resumable ? () -> cancelUnlessResumed(run) : () -> batch.cancel(run, RunState.CANCELLED);
         if (request.stream()) {
-            run.stream(exchange, 0, whenGone);
+            run.stream(exchange, 0, onDisconnect);
         } else {
-            run.answerWhole(exchange, whenGone);
+            run.sendCompletion(exchange, onDisconnect);
         }
         if (resumable) {
-            known.put(record.id(), run);
+            resumableRuns.put(record.id(), run);
         }
         batch.submit(run);
     }
 
     void resume(HttpExchange exchange) {
-        EngineRun run = known.get(id(exchange));
+        EngineRun run = resumableRuns.get(requestId(exchange));
         Optional<Integer> from = from(exchange);
         if (run == null || from.isEmpty()) {
-            StandinServer.error(exchange, run == null ? 404 : 422, "no such request, or from is not a number");
+            StandinServer.error(
+                    exchange, run == null ? 404 : 422, "no such request, or from is not a number of at least 0");
             return;
         }
-        run.stream(exchange, from.get(), () -> awaitResume(run));
+        run.stream(exchange, from.get(), () -> cancelUnlessResumed(run));
     }
 
     void cancel(HttpExchange exchange) {
-        EngineRun run = known.remove(id(exchange));
+        EngineRun run = resumableRuns.remove(requestId(exchange));
         if (run != null) {
             batch.cancel(run, RunState.CANCELLED);
         }
         exchange.respond(204, Map.of(), new byte[0]);
     }
 
-    /** Keeps a finished run for those whose connection broke before its end reached them. */
-    void finished(EngineRun run) {
-        loop.schedule(() -> forget(run), settings.resumeMillis(), TimeUnit.MILLISECONDS);
+    /** Keeps a finished run for the resume period, for readers whose connection was closed before the end of the answer. */
+    void retainForResume(EngineRun run) {
+        loop.schedule(() -> remove(run), settings.resumeMillis(), TimeUnit.MILLISECONDS);
     }
 
-    void forgetAll() {
-        known.clear();
+    void clear() {
+        resumableRuns.clear();
     }
 
     private EngineRun create(ChatRequest request, Run record) {
         ChatBodies bodies = ChatBodies.of(record.id(), request.model(), System.currentTimeMillis() / MILLIS_PER_SECOND);
-        long slowMillis = faults.hit(FaultKind.SLOW).map(Fault::millis).orElse(0L);
+        long slowMillis = faults.trigger(FaultKind.SLOW).map(Fault::millis).orElse(0L);
         EngineRun run = EngineRun.create(request, record, bodies, slowMillis);
-        if (faults.hit(FaultKind.CUT).isPresent()) {
+        if (faults.trigger(FaultKind.CUT).isPresent()) {
             run.cutHalfway();
         }
         return run;
     }
 
-    private void awaitResume(EngineRun run) {
+    private void cancelUnlessResumed(EngineRun run) {
         loop.schedule(() -> cancelIfAbandoned(run), settings.resumeMillis(), TimeUnit.MILLISECONDS);
     }
 
@@ -122,14 +124,14 @@
             return;
         }
         batch.cancel(run, RunState.CANCELLED);
-        forget(run);
+        remove(run);
     }
 
-    private void forget(EngineRun run) {
-        known.remove(run.record().id(), run);
+    private void remove(EngineRun run) {
+        resumableRuns.remove(run.record().id(), run);
     }
 
-    private static String id(HttpExchange exchange) {
+    private static String requestId(HttpExchange exchange) {
         return exchange.path().substring(PREFIX.length());
     }
 
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/ChatRequest.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/ChatRequest.java
@@ -6,10 +6,10 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * A chat completion request (OpenAI API) with the engine's own headers.
+ * A chat completion request (OpenAI API) with the engine's additional headers.
  *
- * @param priority 0 is the most urgent
- * @param cacheKey entry that the request extends and holds; empty: none is held
+ * @param priority lower values are more urgent; 0 is the most urgent
+ * @param cacheKey key of the cache entry that the request extends and that stays held; empty: no entry is held
  */
 record ChatRequest(
         String model,
@@ -21,22 +21,22 @@
         Optional<String> cacheKey) {
     private static final int DEFAULT_PRIORITY = 10;
 
-    /** Reads a request; empty when it has no messages. */
+    /** Parses a request; empty if it has no messages. */
     static Optional<ChatRequest> parse(HttpExchange exchange) {
         JsonNode body = Json.parse(exchange.body()).orElse(Json.object());
         JsonNode messages = body.path("messages");
         if (!messages.isArray() || messages.isEmpty()) {
             return Optional.empty();
         }
-        JsonNode limit = body.path("max_completion_tokens");
+        JsonNode completionLimit = body.path("max_completion_tokens");
         return Optional.of(new ChatRequest(
                 body.path("model").asText(""),
                 messages,
                 body.path("stream").asBoolean(false),
                 body.path("stream_options").path("include_usage").asBoolean(false),
-                limit.isMissingNode()
+                completionLimit.isMissingNode()
                         ? body.path("max_tokens").asInt(Integer.MAX_VALUE)
-                        : limit.asInt(Integer.MAX_VALUE),
+                        : completionLimit.asInt(Integer.MAX_VALUE),
                 priority(exchange),
                 exchange.header("X-Cache-Key")));
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/EngineRun.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/EngineRun.java
@@ -9,7 +9,7 @@
 import org.quetzalshunt.standin.control.RunState;
 import org.quetzalshunt.standin.control.StandinServer;
 
-/** One request in the engine: its progress, the events made so far, and those who read them. */
+/** One request in the engine: its progress, the events emitted so far, and the connections that read them. */
 final class EngineRun {
     private static final Map<String, String> EVENT_STREAM_HEADERS =
             Map.of("content-type", "text/event-stream", "cache-control", "no-cache");
@@ -21,11 +21,11 @@
     private final long slowMillis;
     private final int promptTokens;
     private final List<byte[]> events = new ArrayList<>();
-    private final List<HttpExchange> streams = new ArrayList<>();
-    private final List<HttpExchange> awaitingWhole = new ArrayList<>();
+    private final List<HttpExchange> streamReaders = new ArrayList<>();
+    private final List<HttpExchange> completionReaders = new ArrayList<>();
     private int cachedTokens;
     private int prefillRemaining;
-    private int emitted;
+    private int emittedWords;
     private long nextWordMillis;
     private boolean cutHalfway;
     private boolean ended;
@@ -39,7 +39,7 @@
         this.promptTokens = request.promptTokens();
     }
 
-    /** A run whose words are {@code slowMillis} further apart than the batch gives them. */
+    /** Creates a run with at least {@code slowMillis} between two words. */
     static EngineRun create(ChatRequest request, Run record, ChatBodies bodies, long slowMillis) {
         return new EngineRun(request, record, bodies, slowMillis);
     }
@@ -65,10 +65,10 @@
     }
 
     boolean hasReaders() {
-        return !streams.isEmpty() || !awaitingWhole.isEmpty();
+        return !streamReaders.isEmpty() || !completionReaders.isEmpty();
     }
 
-    /** Closes the connections of those who read when half of the answer is out; the run goes on. */
+    /** Closes the connections of all readers once half of the answer is emitted. The run continues. */
     void cutHalfway() {
         cutHalfway = true;
     }
@@ -82,22 +82,22 @@
         prefillRemaining -= tokens;
     }
 
-    /** Gives one word if its time has come; {@code extraMillis} is added before the next one. */
+    /** Emits one word if it is due. The next word is due at least {@code extraMillis} later. */
     boolean emit(long nowMillis, long extraMillis) {
         if (nowMillis < nextWordMillis) {
             return false;
         }
         nextWordMillis = nowMillis + Math.max(slowMillis, extraMillis);
-        publish(bodies.wordEvent(answer, emitted));
-        emitted++;
-        if (cutHalfway && emitted * 2 >= answer.words().size()) {
-            cutReaders();
+        publish(bodies.wordEvent(answer, emittedWords));
+        emittedWords++;
+        if (cutHalfway && emittedWords * 2 >= answer.words().size()) {
+            disconnectReaders();
         }
         return true;
     }
 
-    boolean lastWordOut() {
-        return emitted >= answer.words().size();
+    boolean allWordsEmitted() {
+        return emittedWords >= answer.words().size();
     }
 
     void finish() {
@@ -107,34 +107,34 @@
         }
         publish(ChatBodies.DONE_EVENT);
         ended = true;
-        record.mark(RunState.DONE);
+        record.setState(RunState.DONE);
         byte[] whole = bodies.completion(answer, usage());
-        awaitingWhole.forEach(exchange -> StandinServer.json(exchange, 200, whole));
-        awaitingWhole.clear();
-        streams.forEach(HttpExchange::end);
-        streams.clear();
+        completionReaders.forEach(exchange -> StandinServer.json(exchange, 200, whole));
+        completionReaders.clear();
+        streamReaders.forEach(HttpExchange::end);
+        streamReaders.clear();
     }
 
-    /** Ends the run without the rest of its answer; readers see their connection close. */
-    void breakOff(RunState state) {
+    /** Ends the run without the rest of its answer and closes the connections of its readers. */
+    void abort(RunState state) {
         if (ended) {
             return;
         }
         ended = true;
-        record.mark(state);
+        record.setState(state);
         closeReaders();
     }
 
-    void answerWhole(HttpExchange exchange, Runnable whenGone) {
-        awaitingWhole.add(exchange);
+    void sendCompletion(HttpExchange exchange, Runnable onDisconnect) {
+        completionReaders.add(exchange);
         exchange.onClose(() -> {
-            awaitingWhole.remove(exchange);
-            whenGone.run();
+            completionReaders.remove(exchange);
+            onDisconnect.run();
         });
     }
 
-    /** Sends the events from a number on, then each new one as it is made. */
-    void stream(HttpExchange exchange, int from, Runnable whenGone) {
+    /** Sends the events from index {@code from} on, then each new event as soon as it is emitted. */
+    void stream(HttpExchange exchange, int from, Runnable onDisconnect) {
         exchange.begin(200, EVENT_STREAM_HEADERS);
         for (int i = from; i < events.size(); i++) {
             exchange.write(events.get(i));
@@ -143,33 +143,33 @@
             exchange.end();
             return;
         }
-        streams.add(exchange);
+        streamReaders.add(exchange);
         exchange.onClose(() -> {
-            streams.remove(exchange);
-            whenGone.run();
+            streamReaders.remove(exchange);
+            onDisconnect.run();
         });
     }
 
     private ObjectNode usage() {
-        return ChatBodies.usage(promptTokens, cachedTokens, emitted);
+        return ChatBodies.usage(promptTokens, cachedTokens, emittedWords);
     }
 
     private void publish(byte[] event) {
         events.add(event);
-        streams.forEach(exchange -> exchange.write(event));
+        streamReaders.forEach(exchange -> exchange.write(event));
     }
 
-    private void cutReaders() {
+    private void disconnectReaders() {
         cutHalfway = false;
-        record.mark(RunState.CUT);
+        record.setState(RunState.CUT);
         closeReaders();
     }
 
     private void closeReaders() {
-        List<HttpExchange> readers = new ArrayList<>(streams);
-        readers.addAll(awaitingWhole);
-        streams.clear();
-        awaitingWhole.clear();
+        List<HttpExchange> readers = new ArrayList<>(streamReaders);
+        readers.addAll(completionReaders);
+        streamReaders.clear();
+        completionReaders.clear();
         readers.forEach(HttpExchange::abort);
     }
 }
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/EngineSettings.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/EngineSettings.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * How the engine behaves when no fault is on.
+ * Behaviour of the engine while no fault is active.
  *
- * @param models what is loaded at the start
- * @param anyModel whether requests may name anything; otherwise those for what is not loaded get 404
+ * @param models models that are loaded at the start
+ * @param anyModel whether requests may name any model; otherwise requests for a model that is not loaded get status 404
  * @param role role at the start
- * @param loadLagMillis age of what {@code /engine/load} reports
- * @param resumeMillis how long a finished or abandoned request can be resumed
+ * @param loadLagMillis age of the figures in {@code /engine/load}
+ * @param resumeMillis time for which a finished or abandoned request can be resumed
  */
 public record EngineSettings(
         List<ModelVersion> models,
@@ -21,7 +21,7 @@
         long loadLagMillis,
         long resumeMillis) {
 
-    /** One model under any name, with a load report 300 ms late. */
+    /** One loaded model that serves requests for any model name, with a load report that is 300 ms old. */
     public static EngineSettings defaults() {
         return new EngineSettings(
                 List.of(new ModelVersion("standin", "1")),
@@ -34,27 +34,27 @@
                 10_000);
     }
 
-    /** The same with a batch of another speed or size. */
+    /** Copy with other batch settings. */
     public EngineSettings withBatch(BatchSettings value) {
         return new EngineSettings(models, anyModel, role, value, cache, orders, loadLagMillis, resumeMillis);
     }
 
-    /** The same with another cache. */
+    /** Copy with other cache settings. */
     public EngineSettings withCache(CacheSettings value) {
         return new EngineSettings(models, anyModel, role, batch, value, orders, loadLagMillis, resumeMillis);
     }
 
-    /** The same with orders taken in another way. */
+    /** Copy with other order settings. */
     public EngineSettings withOrders(OrderSettings value) {
         return new EngineSettings(models, anyModel, role, batch, cache, value, loadLagMillis, resumeMillis);
     }
 
-    /** The same with other models, and nothing else served. */
+    /** Copy that serves only these models. */
     public EngineSettings withModels(List<ModelVersion> value) {
         return new EngineSettings(value, false, role, batch, cache, orders, loadLagMillis, resumeMillis);
     }
 
-    /** The same with load reports of another age. */
+    /** Copy with load reports of another age. */
     public EngineSettings withLoadLagMillis(long value) {
         return new EngineSettings(models, anyModel, role, batch, cache, orders, value, resumeMillis);
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/EngineStandin.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/EngineStandin.java
@@ -11,12 +11,12 @@
 import java.util.function.LongSupplier;
 import org.quetzalshunt.server.http.HttpExchange;
 import org.quetzalshunt.standin.control.Fault;
+import org.quetzalshunt.standin.control.FaultInjector;
 import org.quetzalshunt.standin.control.FaultKind;
-import org.quetzalshunt.standin.control.FaultSwitches;
-import org.quetzalshunt.standin.control.RunBook;
+import org.quetzalshunt.standin.control.RunLog;
 import org.quetzalshunt.standin.control.StandinServer;
 
-/** A model engine, honest in what takes time and memory, that answers by {@link StandinAnswer}. */
+/** Server that stands in for a model engine. Models its use of time and memory, and answers with {@link StandinAnswer}. */
 public final class EngineStandin {
     private static final Set<FaultKind> SUPPORTED = EnumSet.of(
             FaultKind.CRASH,
@@ -32,14 +32,14 @@
 
     private final EventLoop loop;
     private final EngineSettings settings;
-    private final FaultSwitches faults = FaultSwitches.create(SUPPORTED, CLOCK_MILLIS, this::faultSet);
-    private final RunBook runs = RunBook.create(CLOCK_MILLIS);
+    private final FaultInjector faults = FaultInjector.create(SUPPORTED, CLOCK_MILLIS, this::onFaultActivated);
+    private final RunLog runs = RunLog.create(CLOCK_MILLIS);
     private final CacheEvents cacheEvents;
     private final PrefixCache cache;
-    private final CacheCalls cacheCalls;
-    private final OrderDesk orders;
+    private final CacheHandler cacheCalls;
+    private final OrderHandler orders;
     private final Batch batch;
-    private final ChatCalls chat;
+    private final ChatHandler chat;
     private final LoadReports load;
     private Runnable halt = this::close;
     private StandinServer server;
@@ -49,19 +49,22 @@
         this.settings = settings;
         this.cacheEvents = CacheEvents.create(settings.cache(), CLOCK_MILLIS);
         this.cache = PrefixCache.create(settings.cache().capacityTokens(), cacheEvents);
-        this.cacheCalls = CacheCalls.create(loop, settings.cache(), cache);
-        this.orders = OrderDesk.create(loop, settings);
+        this.cacheCalls = CacheHandler.create(loop, settings.cache(), cache);
+        this.orders = OrderHandler.create(loop, settings);
         this.batch = Batch.create(
                 loop,
                 settings.batch(),
                 CLOCK_MILLIS,
-                new BatchHooks(this::slowMillis, this::cachedTokens, this::finished, this::noteLoad));
-        this.chat = ChatCalls.create(loop, settings, faults, runs, batch, orders);
-        this.load = LoadReports.create(settings.loadLagMillis(), CLOCK_MILLIS, this::describe);
-        this.load.note(0);
+                new BatchHooks(this::slowMillis, this::cachedTokens, this::onRunFinished, this::recordLoad));
+        this.chat = ChatHandler.create(loop, settings, faults, runs, batch, orders);
+        this.load = LoadReports.create(settings.loadLagMillis(), CLOCK_MILLIS, this::addLoadFigures);
+        this.load.addSnapshot(0);
     }
 
-    /** Binds and starts to serve; where the process would halt, it closes. Must not be called on a loop of the group. */
+    /**
+     * Binds the address and starts to serve. A fault that halts the process only closes the server. Must not be called on
+     * an event loop of the group.
+     */
     public static EngineStandin start(EventLoopGroup group, InetSocketAddress address, EngineSettings settings) {
         EventLoop loop = group.next();
         EngineStandin engine = new EngineStandin(loop, settings);
@@ -69,7 +72,7 @@
         return engine;
     }
 
-    /** The same, with what is done where the process halts ({@code exit} and {@code poison}). */
+    /** Like {@link #start(EventLoopGroup, InetSocketAddress, EngineSettings)}, with the action of the faults that halt the process. */
     public static EngineStandin start(
             EventLoopGroup group, InetSocketAddress address, EngineSettings settings, Runnable halt) {
         EngineStandin engine = start(group, address, settings);
@@ -77,37 +80,37 @@
         return engine;
     }
 
-    /** Port in use. */
+    /** Port that the server is bound to. */
     public int port() {
         return server.port();
     }
 
-    /** Stops; runs and cache are gone. */
+    /** Stops the server and discards its runs and cache. */
     public void close() {
         server.close();
     }
 
-    /** Turns a fault on; on return it is in force. */
+    /** Activates a fault. It applies to every request that is handled after the return. */
     public void set(Fault fault) {
         server.set(fault);
     }
 
-    /** Turns every fault off. */
+    /** Deactivates all faults. */
     public void clearFaults() {
         server.clearFaults();
     }
 
     private void handle(HttpExchange exchange) {
-        boolean work = exchange.path().equals(COMPLETIONS);
-        if (faults.on(FaultKind.CRASH)) {
+        boolean countable = exchange.path().equals(COMPLETIONS);
+        if (faults.isActive(FaultKind.CRASH)) {
             exchange.abort();
-        } else if (faults.hit(FaultKind.EXIT, work).isPresent()) {
+        } else if (faults.trigger(FaultKind.EXIT, countable).isPresent()) {
             halt.run();
-        } else if (faults.hit(FaultKind.REFUSE, work).isPresent()) {
+        } else if (faults.trigger(FaultKind.REFUSE, countable).isPresent()) {
             StandinServer.error(exchange, 503, "refused");
-        } else if (faults.hit(FaultKind.HANG, work).isEmpty()) {
+        } else if (faults.trigger(FaultKind.HANG, countable).isEmpty()) {
             route(exchange);
-            noteLoad();
+            recordLoad();
         }
     }
 
@@ -126,12 +129,12 @@
             StandinServer.json(exchange, 200, cache.toJson());
         } else if (call.equals("GET /engine/cache/events")) {
             listCacheEvents(exchange);
-        } else if (path.startsWith(CacheCalls.PREFIX)) {
+        } else if (path.startsWith(CacheHandler.PREFIX)) {
             cacheCalls.handle(exchange);
         } else if (call.equals("POST /engine/orders")) {
-            orders.take(exchange);
+            orders.accept(exchange);
         } else if (call.startsWith("GET /engine/orders/")) {
-            orders.report(exchange);
+            orders.sendState(exchange);
         } else {
             StandinServer.error(exchange, 404, "no such call");
         }
@@ -140,10 +143,10 @@
     private void complete(HttpExchange exchange) {
         Optional<ChatRequest> request = ChatRequest.parse(exchange);
         if (request.isEmpty()) {
-            StandinServer.error(exchange, 400, "messages must be an array with an element");
+            StandinServer.error(exchange, 400, "messages must be a non-empty array");
             return;
         }
-        Optional<Fault> poison = faults.standing(FaultKind.POISON);
+        Optional<Fault> poison = faults.active(FaultKind.POISON);
         if (poison.isPresent() && request.get().contains(poison.get().text())) {
             runs.start(exchange);
             halt.run();
@@ -157,29 +160,29 @@
             long from = exchange.query("from").map(Long::parseLong).orElse(0L);
             StandinServer.json(exchange, 200, cacheEvents.toJson(from));
         } catch (NumberFormatException malformed) {
-            StandinServer.error(exchange, 422, "from is a number");
+            StandinServer.error(exchange, 422, "from must be a whole number");
         }
     }
 
-    /** A crash takes what runs at once; an exit without a count comes as soon as its order is answered. */
-    private void faultSet(Fault fault) {
+    /** A crash discards the state at once. An exit without a count follows as soon as the fault request is answered. */
+    private void onFaultActivated(Fault fault) {
         if (fault.kind() == FaultKind.CRASH) {
-            loseEverything();
+            discardState();
         }
         if (fault.kind() == FaultKind.EXIT && fault.count() == 0) {
             loop.schedule(halt, EXIT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void loseEverything() {
-        batch.breakOffAll();
-        chat.forgetAll();
+    private void discardState() {
+        batch.abortAll();
+        chat.clear();
         orders.failRunning();
         cache.clear();
     }
 
     private long slowMillis() {
-        return faults.standing(FaultKind.SLOW)
+        return faults.active(FaultKind.SLOW)
                 .filter(fault -> fault.count() == 0)
                 .map(Fault::millis)
                 .orElse(0L);
@@ -189,18 +192,18 @@
         return cache.match(Prefix.of(run.request().messages()));
     }
 
-    private void finished(EngineRun run) {
+    private void onRunFinished(EngineRun run) {
         Prefix whole =
                 Prefix.of(run.request().messages()).withAnswer(run.answer().text());
         run.request().cacheKey().ifPresentOrElse(key -> cache.store(key, whole, true), () -> cache.storeUnnamed(whole));
-        chat.finished(run);
+        chat.retainForResume(run);
     }
 
-    private void noteLoad() {
-        load.note(batch.wordsEmitted());
+    private void recordLoad() {
+        load.addSnapshot(batch.wordsEmitted());
     }
 
-    private ObjectNode describe(ObjectNode figures) {
+    private ObjectNode addLoadFigures(ObjectNode figures) {
         figures.put("running", batch.runningCount())
                 .put("waiting", batch.waitingCount())
                 .put("slots", settings.batch().slots())
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/LoadReports.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/LoadReports.java
@@ -7,35 +7,35 @@
 import java.util.function.LongSupplier;
 import org.quetzalshunt.wire.json.Json;
 
-/** Load as it was a lag ago. */
+/** Load reports with a fixed delay: keeps snapshots of the load and returns the one of {@code lagMillis} ago. */
 final class LoadReports {
     private static final long RESOLUTION_MILLIS = 5;
     private static final long RATE_WINDOW_MILLIS = 1_000;
 
     private final long lagMillis;
     private final LongSupplier clockMillis;
-    private final Function<ObjectNode, ObjectNode> describe;
+    private final Function<ObjectNode, ObjectNode> addFigures;
     private final Deque<Snapshot> snapshots = new ArrayDeque<>();
 
-    private LoadReports(long lagMillis, LongSupplier clockMillis, Function<ObjectNode, ObjectNode> describe) {
+    private LoadReports(long lagMillis, LongSupplier clockMillis, Function<ObjectNode, ObjectNode> addFigures) {
         this.lagMillis = lagMillis;
         this.clockMillis = clockMillis;
-        this.describe = describe;
+        this.addFigures = addFigures;
     }
 
-    /** Reports made by a function that adds the present figures to an object. */
-    static LoadReports create(long lagMillis, LongSupplier clockMillis, Function<ObjectNode, ObjectNode> describe) {
-        return new LoadReports(lagMillis, clockMillis, describe);
+    /** Creates reports from a function that adds the present load figures to an object. */
+    static LoadReports create(long lagMillis, LongSupplier clockMillis, Function<ObjectNode, ObjectNode> addFigures) {
+        return new LoadReports(lagMillis, clockMillis, addFigures);
     }
 
-    /** Notes the figures of now; {@code words} is the count of words given since the start. */
-    void note(long words) {
+    /** Records the present load figures; {@code words} is the number of words emitted since the start. */
+    void addSnapshot(long words) {
         long now = clockMillis.getAsLong();
         Snapshot last = snapshots.peekLast();
         if (last != null && now - last.millis() < RESOLUTION_MILLIS) {
             snapshots.removeLast();
         }
-        snapshots.addLast(new Snapshot(now, words, describe.apply(Json.object())));
+        snapshots.addLast(new Snapshot(now, words, addFigures.apply(Json.object())));
         long oldestUseful = now - lagMillis - RATE_WINDOW_MILLIS;
         while (snapshots.size() > 1 && snapshots.peekFirst().millis() < oldestUseful) {
             snapshots.removeFirst();
@@ -44,14 +44,14 @@
 
     byte[] toJson() {
         long asOf = clockMillis.getAsLong() - lagMillis;
-        Snapshot shown = latestAt(asOf);
-        Snapshot before = latestAt(asOf - RATE_WINDOW_MILLIS);
-        long perSecond = shown.words() - before.words();
+        Snapshot reported = latestAt(asOf);
+        Snapshot previous = latestAt(asOf - RATE_WINDOW_MILLIS);
+        long perSecond = reported.words() - previous.words();
         return Json.bytes(
-                shown.figures().deepCopy().put("tokensPerSecond", perSecond).put("asOfMillis", asOf));
+                reported.figures().deepCopy().put("tokensPerSecond", perSecond).put("asOfMillis", asOf));
     }
 
-    /** The newest snapshot that is not later; before the first one, the first. */
+    /** The newest snapshot up to this time, or the oldest snapshot if all are later. */
     private Snapshot latestAt(long millis) {
         Snapshot found = snapshots.peekFirst();
         for (Snapshot snapshot : snapshots) {
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/ModelVersion.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/ModelVersion.java
@@ -1,10 +1,10 @@
 package org.quetzalshunt.standin.engine;
 
-/** A model in one version, as the weight store names them. */
+/** A model and its version, with their names in the weight store. */
 public record ModelVersion(String model, String version) {
     private static final String SEPARATOR = "@";
 
-    /** Reads {@code model@version}; without a version it is {@code 1}. */
+    /** Parses {@code model@version}; the default version is {@code 1}. */
     public static ModelVersion parse(String text) {
         int at = text.indexOf(SEPARATOR);
         if (at < 0) {
@@ -13,7 +13,7 @@
         return new ModelVersion(text.substring(0, at), text.substring(at + 1));
     }
 
-    /** Whether a request's {@code model} field means this one. */
+    /** Whether the {@code model} field of a request refers to this model and version. */
     boolean isNamed(String name) {
         return name.equals(model) || name.equals(model + SEPARATOR + version);
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/OrderDesk.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/OrderHandler.java
@@ -14,11 +14,12 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * Takes orders. Each takes effect when its time is over, whatever was ordered meanwhile: with fencing ignored, an old
- * order that is slow undoes a newer one, which is the failure that the system has to prevent there.
+ * HTTP calls for orders to load and unload models and to change the role. An order takes effect after its duration,
+ * regardless of orders that were accepted in the meantime. Without a check of fencing tokens, an old slow order therefore
+ * reverts a newer one; the sidecar has to prevent that failure for such engines.
  */
-final class OrderDesk {
-    private static final int MAXIMUM_KEPT = 1_000;
+final class OrderHandler {
+    private static final int MAXIMUM_STATES = 1_000;
     private static final String PREFIX = "/engine/orders/";
 
     private final EventLoop loop;
@@ -26,18 +27,18 @@
     private final Set<ModelVersion> models;
     private final Map<String, OrderState> states = new LinkedHashMap<>();
     private String role;
-    private long highestToken = Long.MIN_VALUE;
-    private int taken;
+    private long highestFencingToken = Long.MIN_VALUE;
+    private int acceptedOrders;
 
-    private OrderDesk(EventLoop loop, EngineSettings settings) {
+    private OrderHandler(EventLoop loop, EngineSettings settings) {
         this.loop = loop;
         this.settings = settings.orders();
         this.models = new LinkedHashSet<>(settings.models());
         this.role = settings.role();
     }
 
-    static OrderDesk create(EventLoop loop, EngineSettings settings) {
-        return new OrderDesk(loop, settings);
+    static OrderHandler create(EventLoop loop, EngineSettings settings) {
+        return new OrderHandler(loop, settings);
     }
 
     boolean serves(String model) {
@@ -54,24 +55,24 @@
         return nodes;
     }
 
-    void take(HttpExchange exchange) {
+    void accept(HttpExchange exchange) {
         JsonNode body = Json.parse(exchange.body()).orElse(Json.object());
-        Optional<Runnable> effect = effect(body);
+        Optional<Runnable> effect = parseEffect(body);
         if (effect.isEmpty()) {
             StandinServer.error(exchange, 422, "order must be load, unload or role with its fields");
             return;
         }
         long token = body.path("fencingToken").asLong(0);
-        if (settings.fencing() && token < highestToken) {
-            StandinServer.error(exchange, 409, "fencing token " + token + " is older than " + highestToken);
+        if (settings.fencing() && token < highestFencingToken) {
+            StandinServer.error(exchange, 409, "fencing token " + token + " is older than " + highestFencingToken);
             return;
         }
-        highestToken = Math.max(highestToken, token);
+        highestFencingToken = Math.max(highestFencingToken, token);
         String id = start(effect.get());
         StandinServer.json(exchange, 202, Json.bytes(Json.object().put("order", id)));
     }
 
-    void report(HttpExchange exchange) {
+    void sendState(HttpExchange exchange) {
         OrderState state = states.get(exchange.path().substring(PREFIX.length()));
         if (state == null) {
             StandinServer.error(exchange, 404, "no such order");
@@ -83,17 +84,17 @@
                 Json.bytes(Json.object().put("state", state.label()).put("detail", state.detail())));
     }
 
-    /** Orders under way when the process ends come to nothing. */
+    /** Marks all running orders as failed, as when the process ends. */
     void failRunning() {
         states.replaceAll((id, state) -> state == OrderState.RUNNING ? OrderState.FAILED : state);
     }
 
     private String start(Runnable effect) {
-        taken++;
-        String id = "order-" + taken;
-        boolean fails = settings.failEvery() > 0 && taken % settings.failEvery() == 0;
+        acceptedOrders++;
+        String id = "order-" + acceptedOrders;
+        boolean fails = settings.failEvery() > 0 && acceptedOrders % settings.failEvery() == 0;
         states.put(id, OrderState.RUNNING);
-        if (states.size() > MAXIMUM_KEPT) {
+        if (states.size() > MAXIMUM_STATES) {
             states.remove(states.keySet().iterator().next());
         }
         loop.schedule(() -> finish(id, fails, effect), settings.millis(), TimeUnit.MILLISECONDS);
@@ -110,7 +111,7 @@
         states.put(id, fails ? OrderState.FAILED : OrderState.DONE);
     }
 
-    private Optional<Runnable> effect(JsonNode body) {
+    private Optional<Runnable> parseEffect(JsonNode body) {
         ModelVersion named = new ModelVersion(
                 body.path("model").asText(""), body.path("version").asText(""));
         String newRole = body.path("role").asText("");
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/Prefix.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/Prefix.java
@@ -7,24 +7,24 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * A conversation as the cache sees it: after each message, the digest of all up to it and their tokens together.
- * Two conversations share the prefix on whose digests they agree.
+ * Digests and token counts of the prefixes of a conversation: for each message, the digest of all messages up to and
+ * including it, and their total number of tokens. Two conversations share the longest prefix with equal digests.
  */
 final class Prefix {
     private static final int HEADER_BYTES = Integer.BYTES;
     private static final int MESSAGE_BYTES = Long.BYTES + Integer.BYTES;
 
     private final long[] digests;
-    private final int[] tokens;
+    private final int[] cumulativeTokens;
 
-    private Prefix(long[] digests, int[] tokens) {
+    private Prefix(long[] digests, int[] cumulativeTokens) {
         this.digests = digests;
-        this.tokens = tokens;
+        this.cumulativeTokens = cumulativeTokens;
     }
 
     static Prefix of(JsonNode messages) {
         long[] digests = new long[messages.size()];
-        int[] tokens = new int[messages.size()];
+        int[] cumulativeTokens = new int[messages.size()];
         long digest = StandinAnswer.emptyDigest();
         int total = 0;
         for (int i = 0; i < digests.length; i++) {
@@ -32,23 +32,23 @@
             digest = StandinAnswer.extend(digest, message);
             total += StandinAnswer.tokens(message);
             digests[i] = digest;
-            tokens[i] = total;
+            cumulativeTokens[i] = total;
         }
-        return new Prefix(digests, tokens);
+        return new Prefix(digests, cumulativeTokens);
     }
 
-    /** The conversation with the assistant's answer as its next message. */
+    /** The conversation extended by the answer of the assistant. */
     Prefix withAnswer(String text) {
         JsonNode message = Json.object().put("role", "assistant").put("content", text);
         long[] moreDigests = Arrays.copyOf(digests, digests.length + 1);
-        int[] moreTokens = Arrays.copyOf(tokens, tokens.length + 1);
+        int[] moreTokens = Arrays.copyOf(cumulativeTokens, cumulativeTokens.length + 1);
         moreDigests[digests.length] = StandinAnswer.extend(lastDigest(), message);
-        moreTokens[tokens.length] = totalTokens() + StandinAnswer.tokens(message);
+        moreTokens[cumulativeTokens.length] = totalTokens() + StandinAnswer.tokens(message);
         return new Prefix(moreDigests, moreTokens);
     }
 
     int totalTokens() {
-        return tokens.length == 0 ? 0 : tokens[tokens.length - 1];
+        return cumulativeTokens.length == 0 ? 0 : cumulativeTokens[cumulativeTokens.length - 1];
     }
 
     long lastDigest() {
@@ -59,7 +59,7 @@
         int shared = 0;
         int common = Math.min(digests.length, other.digests.length);
         for (int i = 0; i < common && digests[i] == other.digests[i]; i++) {
-            shared = tokens[i];
+            shared = cumulativeTokens[i];
         }
         return shared;
     }
@@ -68,7 +68,7 @@
         ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + digests.length * MESSAGE_BYTES);
         buffer.putInt(digests.length);
         for (int i = 0; i < digests.length; i++) {
-            buffer.putLong(digests[i]).putInt(tokens[i]);
+            buffer.putLong(digests[i]).putInt(cumulativeTokens[i]);
         }
         return buffer.array();
     }
@@ -83,11 +83,11 @@
             return Optional.empty();
         }
         long[] digests = new long[count];
-        int[] tokens = new int[count];
+        int[] cumulativeTokens = new int[count];
         for (int i = 0; i < count; i++) {
             digests[i] = buffer.getLong();
-            tokens[i] = buffer.getInt();
+            cumulativeTokens[i] = buffer.getInt();
         }
-        return Optional.of(new Prefix(digests, tokens));
+        return Optional.of(new Prefix(digests, cumulativeTokens));
     }
 }
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/PrefixCache.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/PrefixCache.java
@@ -10,8 +10,8 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * Prefix cache of limited size. The least recently used entry goes first; a held entry never goes by itself, so that
- * holds which nobody frees take the room of all others. Entries do not share storage.
+ * Prefix cache of limited capacity with eviction of the least recently used entry. Held entries are never evicted, so
+ * that held entries which are never freed reduce the capacity for all others. Entries do not share storage.
  */
 final class PrefixCache {
     private static final String UNNAMED = "unnamed-";
@@ -30,24 +30,24 @@
         return new PrefixCache(capacityTokens, events);
     }
 
-    /** Tokens of the prompt that some entry covers; that entry becomes the most recently used. */
+    /** Number of prompt tokens that the best matching entry covers. That entry becomes the most recently used one. */
     int match(Prefix prompt) {
         String bestKey = "";
-        int best = 0;
+        int bestTokens = 0;
         for (Map.Entry<String, Entry> candidate : entries.entrySet()) {
             int shared = candidate.getValue().prefix().sharedTokens(prompt);
-            if (shared > best) {
-                best = shared;
+            if (shared > bestTokens) {
+                bestTokens = shared;
                 bestKey = candidate.getKey();
             }
         }
-        if (best > 0) {
+        if (bestTokens > 0) {
             entries.get(bestKey);
         }
-        return best;
+        return bestTokens;
     }
 
-    /** Stores or replaces an entry; false when held entries leave no room for it. */
+    /** Stores or replaces an entry; false if the capacity that is left beside the held entries does not suffice. */
     boolean store(String key, Prefix prefix, boolean held) {
         Entry former = entries.remove(key);
         if (former != null) {
@@ -66,13 +66,13 @@
     }
 
     /**
-     * Stores a conversation that nobody named, in place of the unnamed entries that it extends: an engine that shares
-     * blocks by content would keep those once.
+     * Stores a conversation that has no cache key and removes the unnamed entries that it extends. An engine that shares
+     * cache blocks by content would likewise store the common prefix only once.
      */
     void storeUnnamed(Prefix prefix) {
         List<String> extended = entries.entrySet().stream()
                 .filter(entry ->
-                        entry.getKey().startsWith(UNNAMED) && entry.getValue().isWholly(prefix))
+                        entry.getKey().startsWith(UNNAMED) && entry.getValue().isPrefixOf(prefix))
                 .map(Map.Entry::getKey)
                 .toList();
         extended.forEach(this::free);
@@ -126,7 +126,7 @@
     }
 
     private record Entry(Prefix prefix, boolean held) {
-        private boolean isWholly(Prefix other) {
+        private boolean isPrefixOf(Prefix other) {
             return prefix.sharedTokens(other) == prefix.totalTokens();
         }
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/StandinAnswer.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/StandinAnswer.java
@@ -8,17 +8,17 @@
 import java.util.regex.Pattern;
 
 /**
- * The answer that the stand-in engine gives to a list of messages, as words. Its first word is a digest of roles and
- * contents of all messages; the others follow from the digest. It has {@code N} words when the last message holds
- * {@code [words=N]}, else 16 to 32, and never more than {@code max_tokens}.
+ * Answer of the stand-in engine to a list of messages, as words. The first word is a digest of the roles and contents of
+ * all messages, from which the other words are derived. The answer has {@code N} words if the last message contains
+ * {@code [words=N]}, otherwise 16 to 32, and never more than {@code max_tokens}.
  *
- * @param words the answer's tokens, joined by one space in the text
- * @param whole false when {@code max_tokens} cut it short ({@code finish_reason} is then {@code length})
+ * @param words tokens of the answer; the text joins them with single spaces
+ * @param complete false if {@code max_tokens} truncated the answer; {@code finish_reason} is then {@code length}
  */
-public record StandinAnswer(List<String> words, boolean whole) {
-    private static final Pattern WANTED_WORDS = Pattern.compile("\\[words=(\\d{1,5})]");
-    private static final int SHORTEST_WORDS = 16;
-    private static final int SPREAD_WORDS = 17;
+public record StandinAnswer(List<String> words, boolean complete) {
+    private static final Pattern WORD_COUNT_MARKER = Pattern.compile("\\[words=(\\d{1,5})]");
+    private static final int MINIMUM_WORDS = 16;
+    private static final int WORD_COUNT_RANGE = 17;
     private static final long DIGEST_SEED = 0xcbf29ce484222325L;
     private static final long DIGEST_PRIME = 0x100000001b3L;
     private static final String[] VOCABULARY = {
@@ -28,10 +28,10 @@
         "then", "with", "before", "after", "each", "next", "one", "two", "three", "again"
     };
 
-    /** Answer to a {@code messages} array, held to {@code maximumTokens} words. */
+    /** Answer to a {@code messages} array, truncated to {@code maximumTokens} words. */
     public static StandinAnswer to(JsonNode messages, int maximumTokens) {
         long digest = digest(messages);
-        int length = wantedWords(messages, digest);
+        int length = wordCount(messages, digest);
         int limit = Math.min(length, Math.max(1, maximumTokens));
         List<String> words = new ArrayList<>(limit);
         words.add(String.format("%016x", digest));
@@ -43,17 +43,17 @@
         return new StandinAnswer(words, limit == length);
     }
 
-    /** Answer without a limit of words. */
+    /** Answer to a {@code messages} array without truncation. */
     public static StandinAnswer to(JsonNode messages) {
         return to(messages, Integer.MAX_VALUE);
     }
 
-    /** The whole text. */
+    /** Words joined with single spaces. */
     public String text() {
         return String.join(" ", words);
     }
 
-    /** Tokens that the stand-in engine counts in a message: the words of its content, at least 1. */
+    /** Number of tokens of a message: the number of words in its content, at least 1. */
     public static int tokens(JsonNode message) {
         return tokens(content(message));
     }
@@ -69,7 +69,7 @@
         return text.toString().strip();
     }
 
-    /** Digest of a message after those whose digest is given; equal for equal prefixes of a conversation. */
+    /** Extends the digest of the preceding messages by one message. Equal conversation prefixes have equal digests. */
     static long extend(long digest, JsonNode message) {
         long extended = absorb(digest, message.path("role").asText(""));
         return mix(absorb(extended, content(message)));
@@ -100,13 +100,13 @@
         return digest;
     }
 
-    private static int wantedWords(JsonNode messages, long digest) {
+    private static int wordCount(JsonNode messages, long digest) {
         String last = messages.isEmpty() ? "" : content(messages.get(messages.size() - 1));
-        Matcher wanted = WANTED_WORDS.matcher(last);
-        if (wanted.find()) {
-            return Math.max(1, Integer.parseInt(wanted.group(1)));
+        Matcher marker = WORD_COUNT_MARKER.matcher(last);
+        if (marker.find()) {
+            return Math.max(1, Integer.parseInt(marker.group(1)));
         }
-        return SHORTEST_WORDS + (int) Long.remainderUnsigned(digest, SPREAD_WORDS);
+        return MINIMUM_WORDS + (int) Long.remainderUnsigned(digest, WORD_COUNT_RANGE);
     }
 
     private static long absorb(long digest, String text) {
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/package-info.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/package-info.java
@@ -1,7 +1,7 @@
 /**
  * Stand-in of a model engine: continuous batching with limited slots, chunked prefill, a prefix cache of limited size,
- * priorities, late cache events, lagging load reports, resume and cancel, and orders with fencing on or ignored. Its
- * answers are a function of the messages ({@link org.quetzalshunt.standin.engine.StandinAnswer}), so that a checker
- * can tell a whole answer to the right request from any other.
+ * priorities, delayed cache events and load reports, resume and cancel, and orders with or without a check of fencing
+ * tokens. The answer is a function of the messages ({@link org.quetzalshunt.standin.engine.StandinAnswer}), so that a
+ * checker can verify that an answer is complete and belongs to its request.
  */
 package org.quetzalshunt.standin.engine;
--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/ServerFault.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/ServerFault.java
@@ -1,21 +1,21 @@
 package org.quetzalshunt.standin.fleet;
 
-/** What is wrong with a server. */
+/** Fault of a {@link ServerStandin}. */
 public enum ServerFault {
-    /** Nothing. */
+    /** No fault. */
     NONE,
-    /** Says that it is full and did not run the request. */
+    /** Responds that it is full and has not executed the request. */
     FULL,
-    /** Runs the request and closes the connection without an answer. */
+    /** Executes the request and closes the connection without a response. */
     ANSWER_LOST,
-    /** Runs the request and closes the connection in the middle of the answer. */
+    /** Executes the request and closes the connection in the middle of the response. */
     CUT,
-    /** Runs the request and answers nothing. */
+    /** Executes the request and sends no response. */
     SILENT,
-    /** Answers the request with another one's id. */
+    /** Responds with the id of another request. */
     WRONG_ID,
-    /** Answers without its signature. */
+    /** Responds without the response stamp. */
     UNSIGNED,
-    /** Begins to run the request, crashes, and is back a moment later under the same id and address. */
+    /** Starts to execute the request, crashes, and restarts after a short delay with the same id and address. */
     CRASH
 }
--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/ServerStandin.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/ServerStandin.java
@@ -19,20 +19,20 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * A server of the platform: runs what is meant for it, and remembers each run. Requests with a token usage get a stream
- * of events, others a small body.
+ * Stand-in for a server of the platform: executes the requests that are addressed to it and records them. The response
+ * to a request with a token usage is a stream of events, to any other request a short body.
  */
 public final class ServerStandin implements AutoCloseable {
     /**
-     * A request that ran.
+     * A request that was executed.
      *
-     * @param atMillis when it began, in Unix milliseconds
+     * @param atMillis start of the execution, in Unix milliseconds
      */
     public record Ran(String id, String path, Map<String, String> headers, String body, long atMillis) {}
 
-    private static final int EVENTS = 3;
+    private static final int EVENTS_PER_STREAM = 3;
     private static final int SLOTS = 8;
-    private static final long DOWN_MILLIS = 900;
+    private static final long RESTART_DELAY_MILLIS = 900;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<Ran> runs = new ArrayList<>();
@@ -53,17 +53,17 @@
         return new ServerStandin(id);
     }
 
-    /** Its id. */
+    /** Instance id of the server. */
     public String id() {
         return id;
     }
 
-    /** Puts a fault in force, or ends it. */
+    /** Sets the fault of all later requests; {@code NONE} ends it. */
     public void fault(ServerFault newFault) {
         fault = newFault;
     }
 
-    /** What ran here so far. */
+    /** Requests executed so far. */
     public List<Ran> runs() {
         return group.next()
                 .submit(() -> List.copyOf(runs))
@@ -71,31 +71,31 @@
                 .getNow();
     }
 
-    /** Port in use. */
+    /** Port that the server is bound to. */
     public int port() {
         return port;
     }
 
-    /** What the server writes about itself into the store. */
+    /** Entry by which the server registers itself in the store. */
     public byte[] entry(String service, String state) {
         return entry(service, state, port);
     }
 
-    /** The same, with the port of a proxy before it. */
-    public byte[] entry(String service, String state, int reachedAt) {
-        return Json.bytes(entryNode(service, state, reachedAt));
+    /** Like {@link #entry(String, String)}, with the port of a proxy in front of the server. */
+    public byte[] entry(String service, String state, int advertisedPort) {
+        return Json.bytes(entryNode(service, state, advertisedPort));
     }
 
-    /** The same in a data centre of one's choice, for a server that is cold for some more time. */
+    /** Entry of a ready server in the given data centre that stays cold for {@code coldMillis}. */
     public byte[] entryIn(String dataCentre, String service, long coldMillis) {
         return Json.bytes(
                 entryNode(service, "ready", port).put("zone", dataCentre).put("cold_remaining_ms", coldMillis));
     }
 
-    private static ObjectNode entryNode(String service, String state, int reachedAt) {
+    private static ObjectNode entryNode(String service, String state, int advertisedPort) {
         return Json.object()
                 .put("service", service)
-                .put("address", "127.0.0.1:" + reachedAt)
+                .put("address", "127.0.0.1:" + advertisedPort)
                 .put("zone", "a")
                 .put("version", "v1")
                 .put("slots", SLOTS)
@@ -114,16 +114,16 @@
             exchange.respond(503, Map.of("x-not-executed", "1"), new byte[0]);
             return;
         }
-        String request = exchange.header("x-request-id").orElse("");
+        String requestId = exchange.header("x-request-id").orElse("");
         Map<String, String> headers = new HashMap<>();
         exchange.headers().forEach(header -> headers.put(header.getKey().toLowerCase(Locale.ROOT), header.getValue()));
         String body = new String(exchange.body(), StandardCharsets.UTF_8);
-        runs.add(new Ran(request, exchange.path(), headers, body, System.currentTimeMillis()));
-        answer(exchange, fault == ServerFault.WRONG_ID ? "another" : request);
+        runs.add(new Ran(requestId, exchange.path(), headers, body, System.currentTimeMillis()));
+        answer(exchange, fault == ServerFault.WRONG_ID ? "another" : requestId);
     }
 
-    private void answer(HttpExchange exchange, String request) {
-        Map<String, String> head = new HashMap<>(Map.of("x-request-id", request));
+    private void answer(HttpExchange exchange, String requestId) {
+        Map<String, String> head = new HashMap<>(Map.of("x-request-id", requestId));
         if (fault != ServerFault.UNSIGNED) {
             head.put("x-response-stamp", "stamp-" + id);
         }
@@ -131,21 +131,21 @@
             case SILENT -> {}
             case ANSWER_LOST -> exchange.abort();
             case CRASH -> crash();
-            case CUT -> cut(exchange, head);
-            default -> whole(exchange, head);
+            case CUT -> respondPartially(exchange, head);
+            default -> respondCompletely(exchange, head);
         }
     }
 
     private void crash() {
         server.close();
-        Thread restart = new Thread(this::startAgain, id + " restarts");
-        restart.setDaemon(true);
-        restart.start();
+        Thread restarter = new Thread(this::restart, id + " restarts");
+        restarter.setDaemon(true);
+        restarter.start();
     }
 
-    private void startAgain() {
+    private void restart() {
         try {
-            Thread.sleep(DOWN_MILLIS);
+            Thread.sleep(RESTART_DELAY_MILLIS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return;
@@ -154,19 +154,19 @@
         server = HttpServer.start(group, address, HttpLimits.defaults(), this::handle);
     }
 
-    private static void whole(HttpExchange exchange, Map<String, String> head) {
+    private static void respondCompletely(HttpExchange exchange, Map<String, String> head) {
         if (exchange.header("x-token-usage").isEmpty()) {
             exchange.respond(200, head, "done".getBytes(StandardCharsets.UTF_8));
             return;
         }
         exchange.begin(200, head);
-        for (int event = 0; event < EVENTS; event++) {
+        for (int event = 0; event < EVENTS_PER_STREAM; event++) {
             exchange.write(event(event));
         }
         exchange.end();
     }
 
-    private static void cut(HttpExchange exchange, Map<String, String> head) {
+    private static void respondPartially(HttpExchange exchange, Map<String, String> head) {
         exchange.begin(200, head);
         exchange.write(event(0));
         exchange.abort();
--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/SmallPlatform.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/SmallPlatform.java
@@ -17,8 +17,8 @@
 import org.quetzalshunt.server.http.WholeAnswer;
 
 /**
- * A small deployment for one gateway on loopback: a store with a configuration, a server, the gateway's settings file, and
- * a caller. Made for a rehearsal, in which only the code paths matter.
+ * Small deployment around one gateway on the loopback address: a store with a configuration, a server, the settings file
+ * of the gateway, and a client. Used for the rehearsal run of a gateway, in which only the executed code paths matter.
  */
 public final class SmallPlatform implements AutoCloseable {
     private static final String CONFIGURATION =
@@ -41,9 +41,9 @@
             platform: {address: "127.0.0.1:%d", parts: 1}
             """;
 
-    private static final int ROUNDS = 20;
-    private static final long CALL_MILLIS = 2_000;
-    private static final long PAUSE_MILLIS = 100;
+    private static final int REQUESTS = 20;
+    private static final long REQUEST_TIMEOUT_MILLIS = 2_000;
+    private static final long PAUSE_BETWEEN_REQUESTS_MILLIS = 100;
 
     private final StoreStandin store = StoreStandin.start();
     private final ServerStandin server = ServerStandin.start("rehearsal");
@@ -52,7 +52,7 @@
 
     private SmallPlatform() throws IOException {
         port = freePort();
-        store.put("keyed.op", "config", octets(CONFIGURATION.replace("%s", "localhost:" + port)));
+        store.put("keyed.op", "config", utf8(CONFIGURATION.replace("%s", "localhost:" + port)));
         store.put("keyed.servers", server.id(), server.entry("s", "ready"));
         settings = Files.writeString(
                 Files.createTempFile("rehearsal", ".yaml"),
@@ -64,7 +64,7 @@
         return new SmallPlatform();
     }
 
-    /** The settings file for the gateway. */
+    /** Path of the settings file for the gateway. */
     public Path settings() {
         return settings;
     }
@@ -75,12 +75,12 @@
         store.close();
     }
 
-    /** Sends the gateway turns and plain requests, and waits for their answers. */
+    /** Sends turns and plain requests to the gateway alternately, and waits for each response. */
     public void callAll() throws InterruptedException {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         HttpClient client = HttpClient.create(group);
-        for (int round = 0; round < ROUNDS; round++) {
-            int number = round;
+        for (int index = 0; index < REQUESTS; index++) {
+            int number = index;
             CompletableFuture<Integer> answer = new CompletableFuture<>();
             Map<String, String> headers = Map.of(
                     "x-request-id", "r" + number,
@@ -96,11 +96,11 @@
                             "POST",
                             path,
                             headers,
-                            octets("x"),
-                            CALL_MILLIS,
+                            utf8("x"),
+                            REQUEST_TIMEOUT_MILLIS,
                             WholeAnswer.to(new Receiver(answer), 9_999)));
             answer.join();
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(PAUSE_BETWEEN_REQUESTS_MILLIS);
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
@@ -123,7 +123,7 @@
         }
     }
 
-    private static byte[] octets(String text) {
+    private static byte[] utf8(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreFault.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreFault.java
@@ -1,13 +1,13 @@
 package org.quetzalshunt.standin.fleet;
 
-/** What is wrong with the store. */
+/** Fault of a {@link StoreStandin}. */
 public enum StoreFault {
-    /** Nothing. */
+    /** No fault. */
     NONE,
-    /** Every call is refused with status 503, and nothing is done. */
+    /** Every call gets status 503 and has no effect. */
     BUSY,
-    /** Calls are not answered, and nothing is done. */
+    /** Calls get no response and have no effect. */
     SILENT,
-    /** Appends are done, and their answers are lost with the connection. */
+    /** Appends are stored, and the connection is closed without a response. */
     LOSES_ANSWERS
 }
--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreShard.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreShard.java
@@ -8,21 +8,21 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** One partition of a topic: its records in their order, and the newest of each key. */
+/** One partition of a topic: its records in order of their offsets, and the newest record of each key. */
 final class StoreShard {
     /** The newest record of a key. */
     record Newest(long offset, byte[] value) {}
 
     private final List<byte[]> records = new ArrayList<>();
     private final TreeMap<String, Newest> newest = new TreeMap<>();
-    private long first;
+    private long firstOffset;
 
-    long end() {
-        return first + records.size();
+    long endOffset() {
+        return firstOffset + records.size();
     }
 
-    long first() {
-        return first;
+    long firstOffset() {
+        return firstOffset;
     }
 
     void append(byte[] record) {
@@ -32,19 +32,19 @@
         if (value.length == 0) {
             newest.remove(key);
         } else {
-            newest.put(key, new Newest(end(), value));
+            newest.put(key, new Newest(endOffset(), value));
         }
         records.add(record);
     }
 
     byte[] read(long from) {
-        List<byte[]> wanted = records.subList((int) Math.min(records.size(), from - first), records.size());
+        List<byte[]> requested = records.subList((int) Math.min(records.size(), from - firstOffset), records.size());
         int length = 2 * Long.BYTES;
-        for (byte[] record : wanted) {
+        for (byte[] record : requested) {
             length += Integer.BYTES + record.length;
         }
-        ByteBuffer buffer = ByteBuffer.allocate(length).putLong(end()).putLong(first);
-        wanted.forEach(record -> buffer.putInt(record.length).put(record));
+        ByteBuffer buffer = ByteBuffer.allocate(length).putLong(endOffset()).putLong(firstOffset);
+        requested.forEach(record -> buffer.putInt(record.length).put(record));
         return buffer.array();
     }
 
@@ -52,9 +52,9 @@
         return newest.tailMap(key, false);
     }
 
-    /** Forgets the history; the newest record of each key stays. */
+    /** Removes all records except for the newest of each key. */
     void dropHistory() {
-        first = end();
+        firstOffset = endOffset();
         records.clear();
     }
 }
--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreStandin.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreStandin.java
@@ -21,10 +21,13 @@
 import org.quetzalshunt.server.http.HttpServer;
 import org.quetzalshunt.wire.json.Json;
 
-/** The platform's store in memory: appends with and without a condition, reads that wait, the newest of each key. */
+/**
+ * Server that stands in for the store of the platform, in memory: appends with an optional condition on the offset, reads
+ * that wait for new records, and queries for the newest record of each key.
+ */
 public final class StoreStandin implements AutoCloseable {
-    private static final int LONGEST_WAIT_MILLIS = 30_000;
-    private static final long LOOK_AGAIN_MILLIS = 5;
+    private static final int MAXIMUM_WAIT_MILLIS = 30_000;
+    private static final long POLL_INTERVAL_MILLIS = 5;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Map<String, StoreShard> shards = new HashMap<>();
@@ -43,17 +46,17 @@
         return new StoreStandin();
     }
 
-    /** Port in use. */
+    /** Port that the server is bound to. */
     public int port() {
         return server.port();
     }
 
-    /** Puts a fault in force, or ends it; on return it holds for every later call. */
+    /** Sets the fault, which applies to every call that is handled after the return; {@code NONE} ends it. */
     public void fault(StoreFault newFault) {
         onLoop(() -> fault = newFault);
     }
 
-    /** Writes as the operator or a server would. */
+    /** Writes a record, as the operator or a server does. */
     public void put(String topic, String key, byte[] value) {
         onLoop(() -> {
             shard(topic, "0").append(record(key, value));
@@ -61,12 +64,12 @@
         });
     }
 
-    /** Removes a key, as when a server's entry lapses. */
+    /** Removes a key, as when the entry of a server expires. */
     public void remove(String topic, String key) {
         put(topic, key, new byte[0]);
     }
 
-    /** Forgets the history of every partition; the newest record of each key stays. */
+    /** Removes all records of every partition except for the newest of each key. */
     public void dropHistory() {
         onLoop(() -> {
             shards.values().forEach(StoreShard::dropHistory);
@@ -74,12 +77,12 @@
         });
     }
 
-    /** Appends done so far. */
+    /** Number of appends stored so far. */
     public long appends() {
         return onLoop(() -> appends);
     }
 
-    /** Range reads so far of all topics whose name begins so. */
+    /** Number of queries for the newest records so far, over all topics with this prefix. */
     public long rangeReads(String topicPrefix) {
         return onLoop(() -> rangeReads.entrySet().stream()
                 .filter(entry -> entry.getKey().startsWith(topicPrefix))
@@ -87,7 +90,7 @@
                 .sum());
     }
 
-    /** The newest values of all topics whose name begins so. */
+    /** Newest values of all keys, over all topics with this prefix. */
     public List<byte[]> newest(String topicPrefix) {
         return onLoop(() -> {
             List<byte[]> values = new ArrayList<>();
@@ -122,12 +125,12 @@
     }
 
     private void append(HttpExchange exchange, StoreShard shard) {
-        long at = exchange.query("at").map(Long::parseLong).orElse(shard.end());
-        if (at != shard.end()) {
-            exchange.respondJson(412, ends(shard).toString());
+        long expectedEnd = exchange.query("at").map(Long::parseLong).orElse(shard.endOffset());
+        if (expectedEnd != shard.endOffset()) {
+            exchange.respondJson(412, endOffsetNode(shard).toString());
             return;
         }
-        ObjectNode answer = Json.object().put("offset", shard.end());
+        ObjectNode answer = Json.object().put("offset", shard.endOffset());
         ByteBuffer body = ByteBuffer.wrap(exchange.body());
         while (body.hasRemaining()) {
             byte[] record = new byte[body.getInt()];
@@ -139,32 +142,33 @@
             exchange.abort();
             return;
         }
-        exchange.respondJson(200, answer.put("end_offset", shard.end()).toString());
+        exchange.respondJson(200, answer.put("end_offset", shard.endOffset()).toString());
     }
 
-    private static ObjectNode ends(StoreShard shard) {
-        return Json.object().put("end_offset", shard.end());
+    private static ObjectNode endOffsetNode(StoreShard shard) {
+        return Json.object().put("end_offset", shard.endOffset());
     }
 
     private void read(HttpExchange exchange, StoreShard shard, long startNanos) {
         long from = exchange.query("from").map(Long::parseLong).orElse(0L);
-        if (from < shard.first()) {
-            exchange.respondJson(410, Json.object().put("first", shard.first()).toString());
+        if (from < shard.firstOffset()) {
+            exchange.respondJson(
+                    410, Json.object().put("first", shard.firstOffset()).toString());
             return;
         }
-        long wait = Math.min(
-                LONGEST_WAIT_MILLIS,
+        long waitMillis = Math.min(
+                MAXIMUM_WAIT_MILLIS,
                 exchange.query("wait_ms").map(Long::parseLong).orElse(0L));
-        long waited = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
-        if (from >= shard.end() && waited < wait) {
-            group.next().schedule(() -> read(exchange, shard, startNanos), LOOK_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+        long waitedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
+        if (from >= shard.endOffset() && waitedMillis < waitMillis) {
+            group.next().schedule(() -> read(exchange, shard, startNanos), POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
         exchange.respond(200, Map.of(), shard.read(from));
     }
 
     private static void newest(HttpExchange exchange, StoreShard shard) {
-        ObjectNode answer = ends(shard).put("has_more", false);
+        ObjectNode answer = endOffsetNode(shard).put("has_more", false);
         ArrayNode items = answer.putArray("items");
         shard.newestAfter(exchange.query("after").orElse("")).forEach((key, newest) -> items.addObject()
                 .put("key", key)
@@ -178,10 +182,10 @@
     }
 
     private static byte[] record(String key, byte[] value) {
-        byte[] name = key.getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(1 + name.length + value.length)
-                .put((byte) name.length)
-                .put(name)
+        byte[] keyBytes = key.getBytes(StandardCharsets.UTF_8);
+        return ByteBuffer.allocate(1 + keyBytes.length + value.length)
+                .put((byte) keyBytes.length)
+                .put(keyBytes)
                 .put(value)
                 .array();
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/package-info.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Stand-ins of the users' platform: its store and its servers, speaking the same protocol, with the faults that tests
- * need. Groups and committed offsets are left out, since nothing here uses them.
+ * Stand-ins for the store and the servers of the users' platform, with the same protocol and with the faults that tests
+ * need. Consumer groups and committed offsets are not implemented, since the system does not use them.
  */
 package org.quetzalshunt.standin.fleet;
--- a/standin/src/main/java/org/quetzalshunt/standin/platform/LogStream.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/platform/LogStream.java
@@ -8,12 +8,15 @@
 import org.agrona.collections.Long2ObjectHashMap;
 import org.quetzalshunt.wire.json.Json;
 
-/** One stream: records at contiguous offsets, dropped from the front by age, and the readers that wait at its end. */
+/**
+ * Stream of the log service: records at contiguous offsets, of which the oldest are dropped by age, and the readers that
+ * wait for the nextOffset append.
+ */
 final class LogStream {
     private final Long2ObjectHashMap<Entry> entries = new Long2ObjectHashMap<>();
-    private final List<Runnable> waiting = new ArrayList<>();
-    private long first;
-    private long next;
+    private final List<Runnable> waitingReaders = new ArrayList<>();
+    private long firstOffset;
+    private long nextOffset;
 
     private LogStream() {}
 
@@ -22,29 +25,29 @@
     }
 
     long append(byte[] data, long nowMillis) {
-        long offset = next;
+        long offset = nextOffset;
         entries.put(offset, new Entry(BinaryNode.valueOf(data), nowMillis));
-        next++;
+        nextOffset++;
         return offset;
     }
 
-    long next() {
-        return next;
+    long nextOffset() {
+        return nextOffset;
     }
 
     void dropOlderThan(long millis) {
-        while (first < next && entries.get(first).appendedMillis() < millis) {
-            entries.remove(first);
-            first++;
+        while (firstOffset < nextOffset && entries.get(firstOffset).appendedMillis() < millis) {
+            entries.remove(firstOffset);
+            firstOffset++;
         }
     }
 
-    /** Body of a read; holds one record at least, if there is one, so that a reader always gets on. */
+    /** Body of a read response. Contains at least one record if there is any, so that a reader always makes progress. */
     byte[] read(long from, long maximumBytes) {
-        ObjectNode root = Json.object().put("first", first).put("next", next);
+        ObjectNode root = Json.object().put("first", firstOffset).put("next", nextOffset);
         ArrayNode records = root.putArray("records");
         long bytes = 0;
-        for (long offset = Math.max(from, first); offset < next; offset++) {
+        for (long offset = Math.max(from, firstOffset); offset < nextOffset; offset++) {
             BinaryNode data = entries.get(offset).data();
             bytes += data.binaryValue().length;
             if (bytes > maximumBytes && !records.isEmpty()) {
@@ -55,17 +58,17 @@
         return Json.bytes(root);
     }
 
-    void await(Runnable reader) {
-        waiting.add(reader);
+    void addWaitingReader(Runnable reader) {
+        waitingReaders.add(reader);
     }
 
-    void forget(Runnable reader) {
-        waiting.remove(reader);
+    void removeWaitingReader(Runnable reader) {
+        waitingReaders.remove(reader);
     }
 
     void wakeReaders() {
-        List<Runnable> woken = List.copyOf(waiting);
-        waiting.clear();
+        List<Runnable> woken = List.copyOf(waitingReaders);
+        waitingReaders.clear();
         woken.forEach(Runnable::run);
     }
 
--- a/standin/src/main/java/org/quetzalshunt/standin/platform/PlatformSettings.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/platform/PlatformSettings.java
@@ -3,14 +3,14 @@
 import java.util.Set;
 
 /**
- * How the platform behaves when no fault is on.
+ * Behaviour of the platform while no fault is active.
  *
- * @param appendsPerSecond cap on appends over all streams; over it, 429
+ * @param appendsPerSecond limit on appends of all streams together; appends above it get status 429
  * @param retentionMillis age at which records are dropped from the front of their stream
- * @param vmListLagMillis time until a change of the VM list shows in it
- * @param weightLoadMillis time that one load from the weight store takes
- * @param weightLoadsPerSecond rate of the weight store; over it, 429
- * @param missingWeights versions that the weight store lacks, as {@code model/version}
+ * @param vmListLagMillis delay after which a change is visible in the VM list
+ * @param weightLoadMillis duration of one load from the weight store
+ * @param weightLoadsPerSecond limit on loads from the weight store; loads above it get status 429
+ * @param missingWeights versions that are absent from the weight store, as {@code model/version}
  */
 public record PlatformSettings(
         int appendsPerSecond,
@@ -20,24 +20,27 @@
         double weightLoadsPerSecond,
         Set<String> missingWeights) {
 
-    /** "Several hundred appends a second" read as 400; ten minutes of records; a list one second late. */
+    /**
+     * 400 appends per second, for the required "several hundred", a retention of ten minutes, and a VM list with a delay
+     * of one second.
+     */
     public static PlatformSettings defaults() {
         return new PlatformSettings(400, 600_000, 1_000, 500, 2, Set.of());
     }
 
-    /** The same with another cap on appends. */
+    /** Copy with another limit on appends. */
     public PlatformSettings withAppendsPerSecond(int value) {
         return new PlatformSettings(
                 value, retentionMillis, vmListLagMillis, weightLoadMillis, weightLoadsPerSecond, missingWeights);
     }
 
-    /** The same with another retention. */
+    /** Copy with another retention period. */
     public PlatformSettings withRetentionMillis(long value) {
         return new PlatformSettings(
                 appendsPerSecond, value, vmListLagMillis, weightLoadMillis, weightLoadsPerSecond, missingWeights);
     }
 
-    /** The same with another lag of the VM list. */
+    /** Copy with another delay of the VM list. */
     public PlatformSettings withVmListLagMillis(long value) {
         return new PlatformSettings(
                 appendsPerSecond, retentionMillis, value, weightLoadMillis, weightLoadsPerSecond, missingWeights);
--- a/standin/src/main/java/org/quetzalshunt/standin/platform/PlatformStandin.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/platform/PlatformStandin.java
@@ -13,14 +13,14 @@
 import java.util.function.LongSupplier;
 import org.quetzalshunt.server.http.HttpExchange;
 import org.quetzalshunt.standin.control.Fault;
+import org.quetzalshunt.standin.control.FaultInjector;
 import org.quetzalshunt.standin.control.FaultKind;
-import org.quetzalshunt.standin.control.FaultSwitches;
 import org.quetzalshunt.standin.control.RateBucket;
-import org.quetzalshunt.standin.control.RunBook;
+import org.quetzalshunt.standin.control.RunLog;
 import org.quetzalshunt.standin.control.StandinServer;
 import org.quetzalshunt.wire.json.Json;
 
-/** Log service, VM list and weight store in one process, in memory. */
+/** Server that stands in for the platform: log service, VM list and weight store, all in memory. */
 public final class PlatformStandin {
     private static final Set<FaultKind> SUPPORTED = EnumSet.of(
             FaultKind.OUTAGE, FaultKind.SLOW, FaultKind.LOST_ANSWER, FaultKind.REFUSE, FaultKind.LIST_FROZEN);
@@ -31,26 +31,26 @@
     private final EventLoop loop;
     private final PlatformSettings settings;
     private final LongSupplier clockMillis;
-    private final FaultSwitches faults;
-    private final SlowAnswers answers;
+    private final FaultInjector faults;
+    private final ResponseSender responses;
     private final LogService log;
     private final VmList vms;
-    private final RateBucket weightLoads;
+    private final RateBucket weightLoadLimiter;
     private StandinServer server;
 
     private PlatformStandin(EventLoop loop, PlatformSettings settings, LongSupplier clockMillis) {
         this.loop = loop;
         this.settings = settings;
         this.clockMillis = clockMillis;
-        this.faults = FaultSwitches.create(SUPPORTED, clockMillis);
-        this.answers = SlowAnswers.create(loop, faults);
-        this.log = LogService.create(loop, settings, faults, clockMillis, answers);
+        this.faults = FaultInjector.create(SUPPORTED, clockMillis);
+        this.responses = ResponseSender.create(loop, faults);
+        this.log = LogService.create(loop, settings, faults, clockMillis, responses);
         this.vms = VmList.create(settings.vmListLagMillis());
         double burst = Math.max(1, settings.weightLoadsPerSecond());
-        this.weightLoads = RateBucket.full(settings.weightLoadsPerSecond(), burst, clockMillis.getAsLong());
+        this.weightLoadLimiter = RateBucket.full(settings.weightLoadsPerSecond(), burst, clockMillis.getAsLong());
     }
 
-    /** Binds and starts to serve. Must not be called on a loop of the group. */
+    /** Binds the address and starts to serve. Must not be called on an event loop of the group. */
     public static PlatformStandin start(EventLoopGroup group, InetSocketAddress address, PlatformSettings settings) {
         return start(group, address, settings, System::currentTimeMillis);
     }
@@ -59,27 +59,27 @@
             EventLoopGroup group, InetSocketAddress address, PlatformSettings settings, LongSupplier clockMillis) {
         EventLoop loop = group.next();
         PlatformStandin platform = new PlatformStandin(loop, settings, clockMillis);
-        RunBook runs = RunBook.create(clockMillis);
+        RunLog runs = RunLog.create(clockMillis);
         platform.server = StandinServer.start(loop, address, platform.faults, runs, platform::handle);
         return platform;
     }
 
-    /** Port in use. */
+    /** Port that the server is bound to. */
     public int port() {
         return server.port();
     }
 
-    /** Stops; everything kept is gone. */
+    /** Stops the server and discards all data. */
     public void close() {
         server.close();
     }
 
-    /** Turns a fault on; on return it is in force. */
+    /** Activates a fault. It applies to every request that is handled after the return. */
     public void set(Fault fault) {
         server.set(fault);
     }
 
-    /** Turns every fault off. */
+    /** Deactivates all faults. */
     public void clearFaults() {
         server.clearFaults();
     }
@@ -100,10 +100,10 @@
     }
 
     private void listVms(HttpExchange exchange) {
-        if (!faults.on(FaultKind.LIST_FROZEN)) {
-            vms.catchUp(clockMillis.getAsLong());
+        if (!faults.isActive(FaultKind.LIST_FROZEN)) {
+            vms.applyDueChanges(clockMillis.getAsLong());
         }
-        answers.json(exchange, vms.toJson());
+        responses.json(exchange, vms.toJson());
     }
 
     private void changeVm(HttpExchange exchange, String name) {
@@ -114,7 +114,7 @@
         }
         Optional<JsonNode> vm = Json.parse(exchange.body()).filter(JsonNode::isObject);
         if (!exchange.method().equals("PUT") || vm.isEmpty()) {
-            StandinServer.error(exchange, 422, "PUT an object or DELETE");
+            StandinServer.error(exchange, 422, "expected PUT with a JSON object, or DELETE");
             return;
         }
         vms.put(name, ((ObjectNode) vm.get()).put("name", name), clockMillis.getAsLong());
@@ -127,14 +127,15 @@
             StandinServer.error(exchange, 404, "no such version");
             return;
         }
-        if (!weightLoads.take(clockMillis.getAsLong())) {
-            exchange.respond(429, Map.of("retry-after", "1"), StandinServer.errorBody("over the rate of loads"));
+        if (!weightLoadLimiter.take(clockMillis.getAsLong())) {
+            exchange.respond(
+                    429, Map.of("retry-after", "1"), StandinServer.errorBody("weight load rate limit exceeded"));
             return;
         }
         byte[] body = Json.bytes(Json.object()
                 .put("model", modelAndVersion[0])
                 .put("version", modelAndVersion[1])
                 .put("bytes", WEIGHT_BYTES));
-        loop.schedule(() -> answers.json(exchange, body), settings.weightLoadMillis(), TimeUnit.MILLISECONDS);
+        loop.schedule(() -> responses.json(exchange, body), settings.weightLoadMillis(), TimeUnit.MILLISECONDS);
     }
 }
--- a/standin/src/main/java/org/quetzalshunt/standin/platform/SlowAnswers.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/platform/ResponseSender.java
@@ -5,26 +5,26 @@
 import java.util.concurrent.TimeUnit;
 import org.quetzalshunt.server.http.HttpExchange;
 import org.quetzalshunt.standin.control.Fault;
+import org.quetzalshunt.standin.control.FaultInjector;
 import org.quetzalshunt.standin.control.FaultKind;
-import org.quetzalshunt.standin.control.FaultSwitches;
 import org.quetzalshunt.standin.control.StandinServer;
 
-/** Sends answers, late while the platform is slow. What was asked takes effect at once; only the answer is late. */
-final class SlowAnswers {
+/** Sends JSON responses, delayed while {@link FaultKind#SLOW} is active. The request itself takes effect at once. */
+final class ResponseSender {
     private final EventLoop loop;
-    private final FaultSwitches faults;
+    private final FaultInjector faults;
 
-    private SlowAnswers(EventLoop loop, FaultSwitches faults) {
+    private ResponseSender(EventLoop loop, FaultInjector faults) {
         this.loop = loop;
         this.faults = faults;
     }
 
-    static SlowAnswers create(EventLoop loop, FaultSwitches faults) {
-        return new SlowAnswers(loop, faults);
+    static ResponseSender create(EventLoop loop, FaultInjector faults) {
+        return new ResponseSender(loop, faults);
     }
 
     void json(HttpExchange exchange, byte[] body) {
-        Optional<Fault> slow = faults.hit(FaultKind.SLOW);
+        Optional<Fault> slow = faults.trigger(FaultKind.SLOW);
         if (slow.isEmpty()) {
             StandinServer.json(exchange, 200, body);
             return;
--- a/standin/src/main/java/org/quetzalshunt/standin/platform/VmList.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/platform/VmList.java
@@ -10,11 +10,11 @@
 import java.util.TreeMap;
 import org.quetzalshunt.wire.json.Json;
 
-/** VMs as they are, shown as they were a lag ago. */
+/** List of VMs in which changes become visible after a fixed delay. */
 final class VmList {
     private final long lagMillis;
     private final Deque<Change> pending = new ArrayDeque<>();
-    private final Map<String, JsonNode> shown = new TreeMap<>();
+    private final Map<String, JsonNode> visible = new TreeMap<>();
 
     private VmList(long lagMillis) {
         this.lagMillis = lagMillis;
@@ -32,18 +32,18 @@
         pending.addLast(new Change(name, Optional.empty(), nowMillis + lagMillis));
     }
 
-    /** Lets those changes show whose lag is over; a frozen list leaves this out. */
-    void catchUp(long nowMillis) {
+    /** Makes the changes visible whose delay has passed. Not called while {@code LIST_FROZEN} is active. */
+    void applyDueChanges(long nowMillis) {
         while (!pending.isEmpty() && pending.peekFirst().visibleMillis() <= nowMillis) {
             Change change = pending.removeFirst();
-            change.vm().ifPresentOrElse(vm -> shown.put(change.name(), vm), () -> shown.remove(change.name()));
+            change.vm().ifPresentOrElse(vm -> visible.put(change.name(), vm), () -> visible.remove(change.name()));
         }
     }
 
     byte[] toJson() {
         ObjectNode root = Json.object();
         ArrayNode vms = root.putArray("vms");
-        shown.values().forEach(vms::add);
+        visible.values().forEach(vms::add);
         return Json.bytes(root);
     }
 
--- a/standin/src/main/java/org/quetzalshunt/standin/platform/package-info.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/platform/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-in of the platform: append-only log service, lagging VM list and rate-limited weight store. */
+/** Stand-in of the platform: an append-only log service, a VM list with a delay, and a rate-limited weight store. */
 package org.quetzalshunt.standin.platform;
--- a/standin/src/main/java/org/quetzalshunt/standin/service/ServiceSettings.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/service/ServiceSettings.java
@@ -1,12 +1,12 @@
 package org.quetzalshunt.standin.service;
 
 /**
- * How the plain service behaves when no fault is on.
+ * Behaviour of the plain service while no fault is active.
  *
- * @param callMillis time that each call takes
+ * @param callMillis duration of each call
  */
 public record ServiceSettings(long callMillis) {
-    /** A quick tool. */
+    /** Settings of a fast service. */
     public static ServiceSettings defaults() {
         return new ServiceSettings(20);
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/service/ServiceStandin.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/service/ServiceStandin.java
@@ -12,17 +12,18 @@
 import java.util.concurrent.TimeUnit;
 import org.quetzalshunt.server.http.HttpExchange;
 import org.quetzalshunt.standin.control.Fault;
+import org.quetzalshunt.standin.control.FaultInjector;
 import org.quetzalshunt.standin.control.FaultKind;
-import org.quetzalshunt.standin.control.FaultSwitches;
 import org.quetzalshunt.standin.control.Run;
-import org.quetzalshunt.standin.control.RunBook;
+import org.quetzalshunt.standin.control.RunLog;
 import org.quetzalshunt.standin.control.RunState;
 import org.quetzalshunt.standin.control.StandinServer;
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * Runs any call and answers with what it got: {@code {"method","path","bodySha256","idempotencyKey","runs"}}, where
- * {@code runs} is how often this process ran that idempotency key. More than 1 means that a call was doubled.
+ * Server that executes any call and returns {@code {"method","path","bodySha256","idempotencyKey","runs"}}, where
+ * {@code runs} is the number of times that this process has executed a call with that idempotency key. A value above 1
+ * means that a call was executed twice.
  */
 public final class ServiceStandin {
     private static final Set<FaultKind> SUPPORTED =
@@ -30,8 +31,8 @@
 
     private final EventLoop loop;
     private final ServiceSettings settings;
-    private final FaultSwitches faults = FaultSwitches.create(SUPPORTED, System::currentTimeMillis);
-    private final RunBook runs = RunBook.create(System::currentTimeMillis);
+    private final FaultInjector faults = FaultInjector.create(SUPPORTED, System::currentTimeMillis);
+    private final RunLog runs = RunLog.create(System::currentTimeMillis);
     private StandinServer server;
 
     private ServiceStandin(EventLoop loop, ServiceSettings settings) {
@@ -39,7 +40,7 @@
         this.settings = settings;
     }
 
-    /** Binds and starts to serve. Must not be called on a loop of the group. */
+    /** Binds the address and starts to serve. Must not be called on an event loop of the group. */
     public static ServiceStandin start(EventLoopGroup group, InetSocketAddress address, ServiceSettings settings) {
         EventLoop loop = group.next();
         ServiceStandin service = new ServiceStandin(loop, settings);
@@ -47,45 +48,45 @@
         return service;
     }
 
-    /** Port in use. */
+    /** Port that the server is bound to. */
     public int port() {
         return server.port();
     }
 
-    /** Stops; the record of runs is gone. */
+    /** Stops the server and discards the log of runs. */
     public void close() {
         server.close();
     }
 
-    /** Turns a fault on; on return it is in force. */
+    /** Activates a fault. It applies to every request that is handled after the return. */
     public void set(Fault fault) {
         server.set(fault);
     }
 
-    /** Turns every fault off. */
+    /** Deactivates all faults. */
     public void clearFaults() {
         server.clearFaults();
     }
 
     private void handle(HttpExchange exchange) {
-        if (faults.hit(FaultKind.REFUSE).isPresent()) {
+        if (faults.trigger(FaultKind.REFUSE).isPresent()) {
             StandinServer.error(exchange, 503, "refused");
             return;
         }
         Run run = runs.start(exchange);
         byte[] answer = answer(exchange, run);
-        if (faults.hit(FaultKind.HANG).isPresent()) {
-            exchange.onClose(() -> run.mark(RunState.CANCELLED));
+        if (faults.trigger(FaultKind.HANG).isPresent()) {
+            exchange.onClose(() -> run.setState(RunState.CANCELLED));
             return;
         }
-        if (faults.hit(FaultKind.CUT).isPresent()) {
-            run.mark(RunState.CUT);
+        if (faults.trigger(FaultKind.CUT).isPresent()) {
+            run.setState(RunState.CUT);
             exchange.abort();
             return;
         }
-        Optional<Fault> slow = faults.hit(FaultKind.SLOW);
+        Optional<Fault> slow = faults.trigger(FaultKind.SLOW);
         long delay = settings.callMillis() + slow.map(Fault::millis).orElse(0L);
-        exchange.onClose(() -> run.mark(RunState.CUT));
+        exchange.onClose(() -> run.setState(RunState.CUT));
         loop.schedule(() -> finish(exchange, run, answer), delay, TimeUnit.MILLISECONDS);
     }
 
@@ -93,7 +94,7 @@
         if (exchange.finished()) {
             return;
         }
-        run.mark(RunState.DONE);
+        run.setState(RunState.DONE);
         StandinServer.json(exchange, 200, answer);
     }
 
--- a/standin/src/main/java/org/quetzalshunt/standin/service/package-info.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/service/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-in of a plain service with calls that must not be repeated. */
+/** Stand-in of a plain service whose calls are not idempotent. */
 package org.quetzalshunt.standin.service;
--- a/standin/src/test/java/org/quetzalshunt/standin/LocalHttp.java
+++ b/standin/src/test/java/org/quetzalshunt/standin/LocalHttp.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.quetzalshunt.wire.json.Json;
 
-/** Blocking calls to a port on loopback. */
+/** HTTP client for a port of the loopback address. */
 public final class LocalHttp {
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -27,7 +27,7 @@
         return client.send(request(method, path, body, headers), HttpResponse.BodyHandlers.ofString());
     }
 
-    public CompletableFuture<HttpResponse<String>> sendLater(
+    public CompletableFuture<HttpResponse<String>> sendAsync(
             String method, String path, String body, String... headers) {
         return client.sendAsync(request(method, path, body, headers), HttpResponse.BodyHandlers.ofString());
     }
--- a/standin/src/test/java/org/quetzalshunt/standin/engine/BatchTest.java
+++ b/standin/src/test/java/org/quetzalshunt/standin/engine/BatchTest.java
@@ -14,22 +14,22 @@
 import org.quetzalshunt.standin.control.Run;
 import org.quetzalshunt.wire.json.Json;
 
-/** The batch on an event loop whose time stands still but for the test. */
+/** Tests the batch on an event loop whose time only the test advances. */
 final class BatchTest {
     private static final int STEP_MICROS = 1_000;
     private static final int PREFILL_TOKENS_PER_SECOND = 10_000;
 
-    private final EmbeddedChannel time = new EmbeddedChannel();
+    private final EmbeddedChannel channel = new EmbeddedChannel();
     private final List<EngineRun> finished = new ArrayList<>();
     private int cachedTokens;
 
     @BeforeEach
-    void freeze() {
-        time.freezeTime();
+    void freezeTime() {
+        channel.freezeTime();
     }
 
     @Test
-    void freeSlotGoesToTheMostUrgentAndAmongEqualsToTheOldest() {
+    void freeSlotGoesToTheHighestPriorityThenToTheOldest() {
         Batch batch = batch(1, 1_000);
         EngineRun running = run(5, 10, 1);
         EngineRun late = run(5, 10, 1);
@@ -41,10 +41,10 @@
         assertThat(finished).containsExactly(running, urgent, late, later).inOrder();
     }
 
-    /** 100 prompt tokens at 10 tokens a millisecond, less what is cached, and a step of one millisecond a chunk. */
+    /** 100 prompt tokens minus the cached ones at 10 tokens per millisecond, plus one step of one millisecond. */
     @ParameterizedTest
     @CsvSource({"0, 11", "50, 6", "100, 1"})
-    void firstWordComesWhenUncachedPromptIsRead(int cached, int millis) {
+    void firstWordFollowsPrefillOfUncachedTokens(int cached, int millis) {
         cachedTokens = cached;
         Batch batch = batch(1, 1_000);
         batch.submit(run(0, 100, 5));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void longPromptSlowsARunningStreamAndDoesNotStopIt() {
+    void longPromptSlowsRunningStreamWithoutStoppingIt() {
         Batch batch = batch(2, 10);
         batch.submit(run(0, 1, 1_000));
         advanceMillis(10);
@@ -69,7 +69,7 @@
         BatchSettings settings =
                 new BatchSettings(slots, 16, PREFILL_TOKENS_PER_SECOND, prefillChunkTokens, STEP_MICROS, 0);
         BatchHooks hooks = new BatchHooks(() -> 0, run -> cachedTokens, finished::add, () -> {});
-        return Batch.create(time.eventLoop(), settings, () -> 0, hooks);
+        return Batch.create(channel.eventLoop(), settings, () -> 0, hooks);
     }
 
     private static EngineRun run(int priority, int promptWords, int answerWords) {
@@ -78,13 +78,13 @@
                 .put("role", "user")
                 .put("content", "word ".repeat(promptWords - 1) + "[words=" + answerWords + "]");
         ChatRequest request = new ChatRequest("m", messages, true, false, 100_000, priority, Optional.empty());
-        return EngineRun.create(request, Run.unnamed(), ChatBodies.of("r", "m", 0), 0);
+        return EngineRun.create(request, Run.unlogged(), ChatBodies.of("r", "m", 0), 0);
     }
 
     private void advanceMillis(long millis) {
         for (long i = 0; i < millis; i++) {
-            time.advanceTimeBy(1, TimeUnit.MILLISECONDS);
-            time.runScheduledPendingTasks();
+            channel.advanceTimeBy(1, TimeUnit.MILLISECONDS);
+            channel.runScheduledPendingTasks();
         }
     }
 }
--- a/standin/src/test/java/org/quetzalshunt/standin/engine/EngineStandinTest.java
+++ b/standin/src/test/java/org/quetzalshunt/standin/engine/EngineStandinTest.java
@@ -43,7 +43,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void answerIsTheOneOfItsMessages(boolean stream) throws Exception {
+    void answerIsDerivedFromTheMessages(boolean stream) throws Exception {
         start(QUICK);
         ObjectNode body = request("How long is a throughstone?").put("stream", stream);
         String answer = http.send("POST", CHAT, body.toString()).body();
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void streamEndsWithUsageAndItsMark() throws Exception {
+    void streamEndsWithUsageAndDoneMarker() throws Exception {
         start(QUICK);
         ObjectNode body = request("one two three").put("stream", true).put("max_tokens", 2);
         body.putObject("stream_options").put("include_usage", true);
@@ -67,11 +67,11 @@
     }
 
     /**
-     * A caller sees its stream stop half way. The connection to the engine breaks while the engine goes on; what is
-     * missing has to come by a resume from the first event that was not read, and the two parts give the whole.
+     * Guards against a resume that repeats or omits words. The connection to the engine is closed halfway while the run
+     * continues, and the reader resumes from the first event that it has not received.
      */
     @Test
-    void cutStreamIsResumedWhereItStopped() throws Exception {
+    void cutStreamResumesAtTheRequestedEvent() throws Exception {
         start(QUICK);
         engine.set(Fault.next(FaultKind.CUT, 1));
         ObjectNode body = request("[words=40]").put("stream", true);
@@ -82,10 +82,10 @@
     }
 
     @Test
-    void cancelEndsTheRunAndFreesItsName() throws Exception {
+    void cancelEndsTheRunAndRemovesItsId() throws Exception {
         start(EngineSettings.defaults());
         CompletableFuture<HttpResponse<String>> answer =
-                http.sendLater("POST", CHAT, request("[words=5000]").toString(), "X-Request-Id", "r");
+                http.sendAsync("POST", CHAT, request("[words=5000]").toString(), "X-Request-Id", "r");
         awaitRuns(1);
         assertThat(http.send("DELETE", "/engine/requests/r", "").statusCode()).isEqualTo(204);
         assertThrows(Exception.class, answer::join);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void nextTurnFindsItsPrefixInTheHeldEntry() throws Exception {
+    void nextTurnMatchesTheHeldCacheEntry() throws Exception {
         start(QUICK);
         ObjectNode first = request("one two three");
         JsonNode answer = http.json("POST", CHAT, first.toString(), "X-Cache-Key", "program");
@@ -113,14 +113,14 @@
 
     @ParameterizedTest
     @CsvSource({"true, 409", "false, 202"})
-    void oldFencingTokenIsRefusedOnlyWhereChecked(boolean fencing, int status) throws Exception {
+    void outdatedFencingTokenIsRejectedOnlyIfChecked(boolean fencing, int status) throws Exception {
         start(QUICK.withOrders(new OrderSettings(fencing, 0, 0)));
         assertThat(order(7).statusCode()).isEqualTo(202);
         assertThat(order(6).statusCode()).isEqualTo(status);
     }
 
     @Test
-    void failedOrderChangesNothing() throws Exception {
+    void failedOrderReportsItsFailure() throws Exception {
         start(QUICK.withOrders(new OrderSettings(true, 0, 1)));
         String id = parse(order(1).body()).path("order").asText();
         String state = "running";
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void countedFaultsPassOverReports() throws Exception {
+    void countedFaultsDoNotApplyToLoadReports() throws Exception {
         start(QUICK);
         engine.set(Fault.next(FaultKind.REFUSE, 1));
         assertThat(http.send("GET", "/engine/load", "").statusCode()).isEqualTo(200);
@@ -142,27 +142,27 @@
     }
 
     /**
-     * A caller sends one request that ends each engine that runs it. The engine halts before it answers, and the
-     * request is among those it began to run.
+     * Guards against a poison fault that halts the engine on a request without the text of the fault, or that does not
+     * halt it on a request with that text.
      */
     @Test
-    void poisonEndsTheEngine() throws Exception {
+    void poisonTextHaltsTheEngine() throws Exception {
         CompletableFuture<String> halted = new CompletableFuture<>();
         engine = EngineStandin.start(group, new InetSocketAddress("127.0.0.1", 0), QUICK, () -> halted.complete("yes"));
         http = LocalHttp.to(engine.port());
         engine.set(Fault.poison("bad egg"));
         http.send("POST", CHAT, request("good egg").toString());
         assertThat(halted.isDone()).isFalse();
-        http.sendLater("POST", CHAT, request("a bad egg").toString());
+        http.sendAsync("POST", CHAT, request("a bad egg").toString());
         assertThat(halted.get()).isEqualTo("yes");
     }
 
     @Test
-    void crashLosesRunsAndCacheUntilCleared() throws Exception {
+    void crashDiscardsRunsAndCacheAndClosesConnections() throws Exception {
         start(QUICK);
         http.send("POST", CHAT, request("x").toString(), "X-Cache-Key", "k");
         CompletableFuture<HttpResponse<String>> running =
-                http.sendLater("POST", CHAT, request("[words=50000]").toString());
+                http.sendAsync("POST", CHAT, request("[words=50000]").toString());
         awaitRuns(2);
         engine.set(Fault.untilCleared(FaultKind.CRASH));
         assertThrows(Exception.class, running::join);
--- a/standin/src/test/java/org/quetzalshunt/standin/engine/PrefixCacheTest.java
+++ b/standin/src/test/java/org/quetzalshunt/standin/engine/PrefixCacheTest.java
@@ -9,7 +9,7 @@
     private final PrefixCache cache = PrefixCache.create(10, CacheEvents.create(CacheSettings.defaults(), () -> 0));
 
     @Test
-    void leastRecentlyUsedGoesFirst() {
+    void leastRecentlyUsedEntryIsEvictedFirst() {
         cache.store("a", words(4, "a"), false);
         cache.store("b", words(4, "b"), false);
         assertThat(cache.match(words(4, "a"))).isEqualTo(4);
@@ -19,11 +19,11 @@
     }
 
     /**
-     * Programs that are gone slow down those that live. Their entries stay held, so the cache has no room, and each
-     * turn of a living program is read anew; only freeing the hold gives the room back.
+     * Guards against eviction of a held entry. The held entries of ended programs occupy the cache, so that the prompts of
+     * running programs need a full prefill in each turn, until the entries are freed.
      */
     @Test
-    void heldEntryStaysUntilItIsFreed() {
+    void heldEntryIsNotEvictedUntilItIsFreed() {
         cache.store("held", words(8, "a"), true);
         assertThat(cache.store("new", words(4, "b"), false)).isFalse();
         cache.free("held");
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void unnamedEntryGivesWayToTheOneThatExtendsIt() {
+    void unnamedEntryIsReplacedByTheOneThatExtendsIt() {
         Prefix first = words(4, "a");
         cache.storeUnnamed(first);
         cache.storeUnnamed(first.withAnswer("b b"));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void exportedBytesGiveTheSameEntry() {
+    void importOfExportedBytesYieldsTheSameEntry() {
         Prefix prefix = words(4, "a").withAnswer("b b");
         Prefix copy = Prefix.fromBytes(prefix.toBytes()).orElseThrow();
         assertThat(copy.sharedTokens(prefix)).isEqualTo(6);
--- a/standin/src/test/java/org/quetzalshunt/standin/platform/PlatformStandinTest.java
+++ b/standin/src/test/java/org/quetzalshunt/standin/platform/PlatformStandinTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void offsetsAreContiguousAndDataComesBack() throws Exception {
+    void offsetsAreContiguousAndDataIsUnchanged() throws Exception {
         assertThat(append("one").body()).isEqualTo("{\"offset\":0}");
         assertThat(append("two").body()).isEqualTo("{\"offset\":1}");
         JsonNode read = read("from=1");
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void maximumBytesIsHeldButOneRecordAlwaysComes() throws Exception {
+    void readRespectsMaximumBytesButReturnsAtLeastOneRecord() throws Exception {
         append("0123456789");
         append("0123456789");
         append("0123456789");
@@ -71,7 +71,7 @@
 
     @Test
     void readerAtTheEndIsWokenByAnAppend() throws Exception {
-        CompletableFuture<HttpResponse<String>> reader = http.sendLater("GET", "/log/s?from=0&waitMillis=60000", "");
+        CompletableFuture<HttpResponse<String>> reader = http.sendAsync("GET", "/log/s?from=0&waitMillis=60000", "");
         append("news");
         assertThat(reader.get().body()).contains("\"offset\":0");
     }
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void appendsOverTheCapAreRefusedUntilTimePasses() throws Exception {
+    void appendsAboveTheLimitAreRejectedUntilTokensRefill() throws Exception {
         for (int i = 0; i < BURST; i++) {
             assertThat(append("x").statusCode()).isEqualTo(200);
         }
@@ -99,8 +99,8 @@
     }
 
     /**
-     * An operator's change is kept although the answer to it never comes. The log appends, then the connection
-     * breaks; the writer sees a failure and has to read back before it tries again.
+     * Guards against a stand-in that drops the record of an append whose response is lost. The platform stores such a
+     * record, so that a writer has to read the stream before it retries.
      */
     @Test
     void lostAnswerStillAppends() throws Exception {
@@ -111,7 +111,7 @@
 
     @ParameterizedTest
     @CsvSource({"outage, 503, 503", "refuse, 503, 200", "none, 200, 200"})
-    void faultsRefuseAppendsAndReads(String kind, int appendStatus, int readStatus) throws Exception {
+    void faultsRejectAppendsAndReads(String kind, int appendStatus, int readStatus) throws Exception {
         http.send("POST", "/standin/faults", "{\"kind\":\"" + kind + "\"}");
         assertThat(append("x").statusCode()).isEqualTo(appendStatus);
         assertThat(http.send("GET", "/log/s", "").statusCode()).isEqualTo(readStatus);
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void outageEndsByItself() throws Exception {
+    void outageEndsAfterItsDuration() throws Exception {
         platform.set(Fault.lasting(FaultKind.OUTAGE, 200));
         assertThat(append("x").statusCode()).isEqualTo(503);
         clockMillis.addAndGet(200);
@@ -141,12 +141,12 @@
 
     @ParameterizedTest
     @CsvSource({"tutor/1, 200", "tutor, 404", "tutor/lost, 404"})
-    void weightStoreKnowsItsVersions(String version, int status) throws Exception {
+    void weightStoreRejectsUnknownVersions(String version, int status) throws Exception {
         assertThat(http.send("GET", "/weights/" + version, "").statusCode()).isEqualTo(status);
     }
 
     @Test
-    void weightStoreRefusesLoadsOverItsRate() throws Exception {
+    void weightStoreRejectsLoadsAboveItsRate() throws Exception {
         assertThat(http.send("GET", "/weights/a/1", "").statusCode()).isEqualTo(200);
         assertThat(http.send("GET", "/weights/b/1", "").statusCode()).isEqualTo(429);
         clockMillis.addAndGet(1_000);
--- a/standin/src/test/java/org/quetzalshunt/standin/service/ServiceStandinTest.java
+++ b/standin/src/test/java/org/quetzalshunt/standin/service/ServiceStandinTest.java
@@ -38,11 +38,11 @@
     }
 
     /**
-     * The stone lorry comes twice. The first call ran but its connection broke before the answer; the caller's side
-     * sent it again, and the service ran it again. The count of runs by idempotency key must show it.
+     * Guards against a repeated execution that the run count does not show. The connection of the first call is closed
+     * after the execution and before the response, and the caller sends the call again with the same idempotency key.
      */
     @Test
-    void doubledCallShowsInTheCountOfRuns() throws Exception {
+    void repeatedCallIsCountedByIdempotencyKey() throws Exception {
         service.set(Fault.next(FaultKind.CUT, 1));
         assertThrows(IOException.class, () -> http.send("POST", "/orders", "{}", "Idempotency-Key", "lorry"));
         JsonNode second = http.json("POST", "/orders", "{}", "Idempotency-Key", "lorry");
@@ -71,7 +71,7 @@
                 "{\"kind\":\"hang\",\"count\":1}     | 204",
                 "{\"kind\":\"none\"}                 | 204"
             })
-    void faultOrdersAreChecked(String body, int status) throws Exception {
+    void invalidFaultRequestsAreRejected(String body, int status) throws Exception {
         assertThat(http.send("POST", "/standin/faults", body).statusCode()).isEqualTo(status);
     }
 }
