--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/SmallPlatform.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/SmallPlatform.java
@@ -18,7 +18,8 @@
 
 /**
  * Small deployment around one gateway on the loopback address: a store with a configuration, a server, the settings file
- * of the gateway, and a client. Used for the rehearsal run of a gateway, in which only the executed code paths matter.
+ * of the gateway, and a client. Used for a run that records the class-data archive of the gateway, in which only the executed
+ * code paths matter.
  */
 public final class SmallPlatform implements AutoCloseable {
     private static final String CONFIGURATION =
--- a/wire/src/main/java/org/quetzalshunt/wire/document/DocumentReader.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/document/DocumentReader.java
@@ -16,15 +16,15 @@
 import org.quetzalshunt.core.document.ServiceLimits;
 
 /**
- * Reads a service document from YAML or JSON. Gives the document, or all errors at once with their places: a field that
- * is not known, a value of a wrong type or out of bounds, a name or key that stands twice.
+ * Parses and validates a service document in YAML or JSON. The result is the document, or all errors with their lines and
+ * paths: unknown fields, values of the wrong type or out of bounds, and duplicate names or keys.
  *
- * <p>Every process of a deployment must read the same text the same way, because the fold of the configuration skips
- * what cannot be read. A check may therefore be made stricter only where no document in force breaks it, and a new
- * field may be used only when every VM runs the version that knows it.
+ * <p>All processes of a deployment must read a text with the same result, because a process skips a configuration record
+ * whose document is not valid. A check may therefore be made stricter only if no active document violates it, and a new field
+ * may be used only after every VM runs a version that supports it.
  */
 public final class DocumentReader {
-    /** Largest text, so that a document and its record fit one append. */
+    /** Maximum size of a text, such that the record with the document fits into one append. */
     public static final int MAXIMUM_BYTES = 512 * 1024;
 
     private static final int MAXIMUM_ERRORS = 100;
@@ -34,7 +34,7 @@
     private static final int MAXIMUM_MODELS = 64;
     private static final double MAXIMUM_RATE = 1_000_000;
     private static final double MAXIMUM_WEIGHT = 1_000;
-    private static final double WHOLE_REQUEST = 1;
+    private static final double MINIMUM_BURST = 1;
     private static final long DAY_MILLIS = 86_400_000;
     private static final long MAXIMUM_TOKENS = 1_000_000_000;
     private static final int MAXIMUM_QUEUE = 100_000;
@@ -56,7 +56,7 @@
 
     private DocumentReader() {}
 
-    /** Reads a text. */
+    /** Parses and validates a text. */
     public static DocumentReading read(String text) {
         DocumentReader reader = new DocumentReader();
         Optional<ServiceDocument> document = reader.readText(text);
@@ -84,13 +84,13 @@
         String kind = fields.requiredText("kind", KIND, "engine or plain");
         List<ClientAccount> accounts = fields.list("accounts", MAXIMUM_ACCOUNTS, this::readAccount);
         List<CallRule> rules = fields.list("nonIdempotentCalls", MAXIMUM_RULES, this::readRule);
-        ServiceLimits limits = readLimits(fields.inner("limits"));
+        ServiceLimits limits = readLimits(fields.nested("limits"));
         List<String> models = fields.list(
                 "models",
                 MAXIMUM_MODELS,
                 (node, path) -> fields.text(node, path, MODEL, "a model and its version as name@version"));
-        boolean fencing = fields.truth("engineChecksFencing", false);
-        fields.refuseUnknown();
+        boolean fencing = fields.booleanValue("engineChecksFencing", false);
+        fields.rejectUnknownFields();
         ServiceKind serviceKind =
                 kind.isEmpty() ? ServiceKind.PLAIN : ServiceKind.valueOf(kind.toUpperCase(Locale.ROOT));
         return new ServiceDocument(name, team, serviceKind, accounts, rules, limits, models, fencing);
@@ -104,21 +104,21 @@
                 fields.number("requestsPerSecond", Optional.empty(), 0, MAXIMUM_RATE),
                 fields.number("burst", Optional.empty(), 0, MAXIMUM_RATE),
                 fields.number("weight", Optional.of(1.0), 0, MAXIMUM_WEIGHT));
-        fields.refuseUnknown();
+        fields.rejectUnknownFields();
         if (!account.name().isEmpty() && !accountNames.add(account.name())) {
-            fields.note("name", "a name that no other account of the service has");
+            fields.addError("name", "a name that no other account of the service has");
         }
-        if (account.burst() < WHOLE_REQUEST) {
-            fields.note("burst", "at least 1, or no request could ever pass");
+        if (account.burst() < MINIMUM_BURST) {
+            fields.addError("burst", "at least 1, because a smaller burst admits no request");
         }
         return account;
     }
 
-    /** A key must name one client account, or a request could run for another than the one whose key came with it. */
+    /** A key must identify exactly one client account; otherwise a request could run for a different account. */
     private String readHash(FieldReader fields, LocatedNode node, String path) {
         String hash = fields.text(node, path, HASH, HASH_EXPECTED);
         if (!hash.isEmpty() && !keyHashes.add(hash)) {
-            errors.add(new DocumentError(node.line(), path, "a key hash that stands once in the document"));
+            errors.add(new DocumentError(node.line(), path, "a key hash that is used only once in the document"));
         }
         return hash;
     }
@@ -128,7 +128,7 @@
         CallRule rule = new CallRule(
                 fields.requiredText("method", METHOD, "an HTTP method in capitals, or *"),
                 fields.requiredText("path", PATH, "a path prefix that starts with /, without blanks"));
-        fields.refuseUnknown();
+        fields.rejectUnknownFields();
         return rule;
     }
 
@@ -143,9 +143,11 @@
                 (int) fields.wholeNumber("maximumTurns", defaults.maximumTurns(), 1, MAXIMUM_TURNS),
                 fields.wholeNumber("programIdleMillis", defaults.programIdleMillis(), 1, DAY_MILLIS),
                 fields.wholeNumber("idempotencyMillis", defaults.idempotencyMillis(), 1, DAY_MILLIS));
-        fields.refuseUnknown();
+        fields.rejectUnknownFields();
         if (limits.reservationTokens() > limits.programBudgetTokens()) {
-            fields.note("reservationTokens", "no more than programBudgetTokens, or no turn could ever run");
+            fields.addError(
+                    "reservationTokens",
+                    "no more than programBudgetTokens, because a larger reservation lets no turn run");
         }
         return limits;
     }
--- a/wire/src/main/java/org/quetzalshunt/wire/document/FieldReader.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/document/FieldReader.java
@@ -15,8 +15,8 @@
 import org.quetzalshunt.wire.document.LocatedNode.Sequence;
 
 /**
- * Reads the fields of one mapping and notes what is wrong with them. A value that is wrong is replaced by a harmless
- * one, so that reading goes on to the next error; the reading as a whole is invalid then.
+ * Reads and validates the fields of one mapping. An invalid value adds an error and is replaced by a valid value, so that
+ * all further errors of the document are found too. The document is then rejected as a whole.
  */
 final class FieldReader {
     private static final int MAXIMUM_DIGITS = 18;
@@ -24,7 +24,7 @@
     private final Mapping mapping;
     private final String path;
     private final List<DocumentError> errors;
-    private final Set<String> known = new HashSet<>();
+    private final Set<String> knownFields = new HashSet<>();
 
     private FieldReader(Mapping mapping, String path, List<DocumentError> errors) {
         this.mapping = mapping;
@@ -32,7 +32,10 @@
         this.errors = errors;
     }
 
-    /** A reader of a node that should be a mapping; one without fields in place of any other. */
+    /**
+     * Creates a reader of a mapping. For any other node it adds one error and creates a reader without fields, whose errors
+     * are dropped.
+     */
     static FieldReader of(LocatedNode node, String path, List<DocumentError> errors) {
         if (node instanceof Mapping mapping) {
             return new FieldReader(mapping, path, errors);
@@ -47,53 +50,53 @@
                 .orElse("");
     }
 
-    double number(String name, Optional<Double> otherwise, double above, double atMost) {
-        String expected = "a number above " + plain(above) + ", at most " + plain(atMost);
-        Optional<LocatedNode> node = otherwise.isPresent() ? field(name) : required(name, expected);
+    double number(String name, Optional<Double> defaultValue, double above, double atMost) {
+        String expected = "a number above " + format(above) + ", at most " + format(atMost);
+        Optional<LocatedNode> node = defaultValue.isPresent() ? field(name) : required(name, expected);
         if (node.isEmpty()) {
-            return otherwise.orElse(atMost);
+            return defaultValue.orElse(atMost);
         }
         Optional<BigDecimal> value = number(node.get());
         if (value.isEmpty() || value.get().doubleValue() <= above || value.get().doubleValue() > atMost) {
-            note(node.get(), name, expected);
+            addError(node.get(), name, expected);
             return atMost;
         }
         return value.get().doubleValue();
     }
 
-    long wholeNumber(String name, long otherwise, long atLeast, long atMost) {
+    long wholeNumber(String name, long defaultValue, long atLeast, long atMost) {
         Optional<LocatedNode> node = field(name);
         if (node.isEmpty()) {
-            return otherwise;
+            return defaultValue;
         }
-        Optional<Long> value = number(node.get()).flatMap(FieldReader::whole);
+        Optional<Long> value = number(node.get()).flatMap(FieldReader::toLong);
         if (value.isEmpty() || value.get() < atLeast || value.get() > atMost) {
-            note(node.get(), name, "a whole number from " + atLeast + " to " + atMost);
-            return otherwise;
+            addError(node.get(), name, "a whole number from " + atLeast + " to " + atMost);
+            return defaultValue;
         }
         return value.get();
     }
 
-    boolean truth(String name, boolean otherwise) {
+    boolean booleanValue(String name, boolean defaultValue) {
         Optional<LocatedNode> node = field(name);
         if (node.isEmpty()) {
-            return otherwise;
+            return defaultValue;
         }
-        if (node.get() instanceof Scalar scalar && scalar.kind() == ScalarKind.TRUTH) {
+        if (node.get() instanceof Scalar scalar && scalar.kind() == ScalarKind.BOOLEAN) {
             return scalar.text().equalsIgnoreCase("true");
         }
-        note(node.get(), name, "true or false");
-        return otherwise;
+        addError(node.get(), name, "true or false");
+        return defaultValue;
     }
 
-    /** Reads each item of a list; a list that is missing is empty. */
+    /** Reads each item of a list; empty if the field is absent. */
     <T> List<T> list(String name, int atMost, BiFunction<LocatedNode, String, T> item) {
         Optional<LocatedNode> node = field(name);
         if (node.isEmpty()) {
             return List.of();
         }
         if (!(node.get() instanceof Sequence sequence) || sequence.items().size() > atMost) {
-            note(node.get(), name, "a list of at most " + atMost + " items");
+            addError(node.get(), name, "a list of at most " + atMost + " items");
             return List.of();
         }
         List<T> items = new ArrayList<>();
@@ -103,40 +106,41 @@
         return List.copyOf(items);
     }
 
-    /** A mapping inside; one without fields when it is missing. */
-    FieldReader inner(String name) {
+    /** Reader of a nested mapping; without fields if the field is absent. */
+    FieldReader nested(String name) {
         LocatedNode node = field(name).orElse(new Mapping(mapping.line(), Map.of()));
         return of(node, fieldPath(name), errors);
     }
 
-    /** Notes each field that nobody asked for: a misspelt name would otherwise leave its default in force unseen. */
-    void refuseUnknown() {
+    /** Adds an error for each field that was not read. Otherwise the default would silently apply for a misspelt name. */
+    void rejectUnknownFields() {
         mapping.fields().forEach((name, node) -> {
-            if (!known.contains(name)) {
-                note(
+            if (!knownFields.contains(name)) {
+                addError(
                         node,
                         name,
-                        "no such field; known are "
-                                + String.join(", ", known.stream().sorted().toList()));
+                        "no such field; the known fields are "
+                                + String.join(
+                                        ", ", knownFields.stream().sorted().toList()));
             }
         });
     }
 
-    String text(LocatedNode node, String place, Pattern pattern, String expected) {
+    String text(LocatedNode node, String nodePath, Pattern pattern, String expected) {
         if (node instanceof Scalar scalar
                 && (scalar.kind() == ScalarKind.TEXT || scalar.kind() == ScalarKind.PLAIN_NUMBER)
                 && pattern.matcher(scalar.text()).matches()) {
             return scalar.text();
         }
-        errors.add(new DocumentError(node.line(), place, expected));
+        errors.add(new DocumentError(node.line(), nodePath, expected));
         return "";
     }
 
-    void note(String name, String expected) {
-        note(mapping.fields().getOrDefault(name, mapping), name, expected);
+    void addError(String name, String expected) {
+        addError(mapping.fields().getOrDefault(name, mapping), name, expected);
     }
 
-    private void note(LocatedNode node, String name, String expected) {
+    private void addError(LocatedNode node, String name, String expected) {
         errors.add(new DocumentError(node.line(), fieldPath(name), expected));
     }
 
@@ -149,7 +153,7 @@
     }
 
     private Optional<LocatedNode> field(String name) {
-        known.add(name);
+        knownFields.add(name);
         return Optional.ofNullable(mapping.fields().get(name));
     }
 
@@ -165,21 +169,21 @@
         }
         try {
             return Optional.of(new BigDecimal(scalar.text().replace("_", "")));
-        } catch (NumberFormatException otherForm) {
-            // YAML has numbers in octal and to base 60, which nobody means.
+        } catch (NumberFormatException unsupportedNotation) {
+            // YAML has octal and base-60 numbers, which are not supported here.
             return Optional.empty();
         }
     }
 
-    private static Optional<Long> whole(BigDecimal value) {
+    private static Optional<Long> toLong(BigDecimal value) {
         try {
             return Optional.of(value.longValueExact());
-        } catch (ArithmeticException broken) {
+        } catch (ArithmeticException fractionalOrTooLarge) {
             return Optional.empty();
         }
     }
 
-    private static String plain(double value) {
+    private static String format(double value) {
         return BigDecimal.valueOf(value).stripTrailingZeros().toPlainString();
     }
 }
--- a/wire/src/main/java/org/quetzalshunt/wire/document/LocatedNode.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/document/LocatedNode.java
@@ -3,18 +3,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** A value of the text with its line. */
+/** A parsed value with its line in the text. */
 sealed interface LocatedNode {
     int line();
 
-    /** How a scalar was written. */
+    /** Syntax of a scalar in the text. */
     enum ScalarKind {
         TEXT,
-        /** A number in YAML, which may have been meant as text: a hash of digits alone, say. */
+        /** A number without quotes in YAML. May be meant as text, such as a hash that consists only of digits. */
         PLAIN_NUMBER,
         NUMBER,
-        TRUTH,
-        NOTHING
+        BOOLEAN,
+        NULL
     }
 
     record Scalar(int line, ScalarKind kind, String text) implements LocatedNode {}
--- a/wire/src/main/java/org/quetzalshunt/wire/document/LocatedTree.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/document/LocatedTree.java
@@ -18,8 +18,8 @@
 import org.quetzalshunt.wire.document.LocatedNode.Sequence;
 
 /**
- * Reads a text to a tree that knows its lines. Aliases are refused rather than followed: a few nested ones would make a
- * small text as large as memory.
+ * Parses YAML or JSON to a tree of values with their lines. YAML aliases are rejected, because a few nested aliases expand
+ * a small text to a tree that exhausts the memory.
  */
 final class LocatedTree {
     private static final int MAXIMUM_DEPTH = 8;
@@ -29,18 +29,18 @@
 
     private final JsonParser parser;
     private final List<DocumentError> errors;
-    private int values;
+    private int valueCount;
 
     private LocatedTree(JsonParser parser, List<DocumentError> errors) {
         this.parser = parser;
         this.errors = errors;
     }
 
-    /** Reads the text; what stops the reading is added to the errors, and the result is empty. */
+    /** Parses the text. If this fails, the result is empty and the cause is added to the errors. */
     static Optional<LocatedNode> read(String text, List<DocumentError> errors) {
         boolean json = text.stripLeading().startsWith("{");
         try (JsonParser parser = json ? JSON.createParser(text) : YAML.createParser(text)) {
-            return new LocatedTree(parser, errors).readWhole();
+            return new LocatedTree(parser, errors).readDocument();
         } catch (JsonProcessingException malformed) {
             int line = malformed.getLocation() == null
                     ? 1
@@ -48,13 +48,13 @@
             errors.add(new DocumentError(Math.max(1, line), "", (json ? "JSON" : "YAML") + " that can be parsed"));
             return Optional.empty();
         } catch (IOException | RuntimeException malformed) {
-            // The YAML library throws unchecked exceptions of its own for some malformed escapes.
+            // The YAML parser throws unchecked exceptions for some malformed escape sequences.
             errors.add(new DocumentError(1, "", "text that can be parsed"));
             return Optional.empty();
         }
     }
 
-    private Optional<LocatedNode> readWhole() throws IOException {
+    private Optional<LocatedNode> readDocument() throws IOException {
         if (parser.nextToken() == null) {
             errors.add(new DocumentError(1, "", "a document, not an empty text"));
             return Optional.empty();
@@ -67,8 +67,8 @@
     }
 
     private Optional<LocatedNode> readValue(String path, int depth) throws IOException {
-        values++;
-        if (depth > MAXIMUM_DEPTH || values > MAXIMUM_VALUES) {
+        valueCount++;
+        if (depth > MAXIMUM_DEPTH || valueCount > MAXIMUM_VALUES) {
             errors.add(new DocumentError(
                     line(), path, "at most " + MAXIMUM_DEPTH + " levels and " + MAXIMUM_VALUES + " values"));
             return Optional.empty();
@@ -100,7 +100,7 @@
                 return Optional.empty();
             }
             if (fields.putIfAbsent(name, value.get()) != null) {
-                errors.add(new DocumentError(nameLine, fieldPath, "a field to stand once"));
+                errors.add(new DocumentError(nameLine, fieldPath, "a field that is used only once in its mapping"));
             }
         }
         return Optional.of(new Mapping(start, fields));
@@ -123,8 +123,8 @@
         return switch (token) {
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT ->
                 parser instanceof YAMLParser ? ScalarKind.PLAIN_NUMBER : ScalarKind.NUMBER;
-            case VALUE_TRUE, VALUE_FALSE -> ScalarKind.TRUTH;
-            case VALUE_NULL -> ScalarKind.NOTHING;
+            case VALUE_TRUE, VALUE_FALSE -> ScalarKind.BOOLEAN;
+            case VALUE_NULL -> ScalarKind.NULL;
             default -> ScalarKind.TEXT;
         };
     }
--- a/wire/src/main/java/org/quetzalshunt/wire/document/package-info.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/document/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Service documents as text: YAML or JSON, checked whole, with every error at once and its place. The form is published
- * as docs/service-document.schema.json; a test keeps the two in step.
+ * Parses and validates service documents in YAML or JSON. All errors of a document are reported together, each with its
+ * line and path. The format is published as docs/service-document.schema.json; a test checks that both list the same
+ * fields.
  */
 package org.quetzalshunt.wire.document;
--- a/wire/src/test/java/org/quetzalshunt/wire/document/DocumentReaderTest.java
+++ b/wire/src/test/java/org/quetzalshunt/wire/document/DocumentReaderTest.java
@@ -31,7 +31,7 @@
 
     @ParameterizedTest
     @MethodSource("examples")
-    void theExamplesAreValid(Path example) throws IOException {
+    void examplesAreValid(Path example) throws IOException {
         DocumentReading reading = DocumentReader.read(Files.readString(example));
         assertThat(reading.errors()).isEmpty();
         assertThat(reading.toOptional().map(document -> document.accounts().size()))
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void yamlAndJsonReadAlike() {
+    void yamlAndJsonYieldTheSameDocument() {
         String yaml = MINIMAL
                 + """
                 accounts:
@@ -74,11 +74,11 @@
     }
 
     /**
-     * An operator changes five things and gets each wrong. Told one error at a time they would put the document five
-     * times while a class waits: every error comes at once, with its line.
+     * Guards against a reader that stops at the first error. An operator with several errors in one document would have to
+     * submit it once for each of them.
      */
     @Test
-    void everyErrorComesAtOnceWithItsPlace() {
+    void allErrorsAreReportedTogetherWithTheirLines() {
         String text =
                 """
                 service: Tutor
@@ -120,7 +120,7 @@
                 "''|empty",
                 "service: [a|can be parsed",
                 "- a|a mapping",
-                "service: tutor\\nservice: tutor|stand once",
+                "service: tutor\\nservice: tutor|used only once in its mapping",
                 "a: &x [1]\\nb: *x|alias",
                 "a: &x {b: 1}\\n<<: *x|alias",
                 "a: [[[[[[[[[1]]]]]]]]]|levels",
@@ -132,22 +132,22 @@
                 "engineChecksFencing: 1|true or false",
                 "nonIdempotentCalls: [{method: post, path: issues}]|in capitals",
             })
-    void aTextThatIsNoDocumentIsRefused(String text, String expected) {
+    void invalidTextIsRejected(String text, String expected) {
         List<DocumentError> errors =
                 DocumentReader.read(text.replace("\\n", "\n")).errors();
         assertThat(errors.toString()).contains(expected);
     }
 
-    /** One key at two accounts would let a request run for another account than the one whose key came with it. */
+    /** Guards against a key of two accounts, with which a request could run for the wrong account. */
     @Test
-    void aKeyStandsOnce() {
+    void keyOfTwoAccountsIsRejected() {
         String account = "\n    keyHashes: [" + HASH + "]\n    requestsPerSecond: 1\n    burst: 1\n";
         String text = MINIMAL + "accounts:\n  - name: arusha" + account + "  - name: moshi" + account;
-        assertThat(DocumentReader.read(text).errors().toString()).contains("stands once");
+        assertThat(DocumentReader.read(text).errors().toString()).contains("used only once in the document");
     }
 
     @Test
-    void aHashOfDigitsAloneIsText() {
+    void hashOfDigitsOnlyIsReadAsText() {
         String digits = "1".repeat(64);
         String text = MINIMAL + "accounts: [{name: a, keyHashes: [" + digits + "], requestsPerSecond: 1, burst: 1}]\n";
         assertThat(DocumentReader.read(text)
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void sizesAreBounded() {
+    void oversizedTextsListsAndErrorsAreBounded() {
         assertThat(DocumentReader.read("#".repeat(DocumentReader.MAXIMUM_BYTES + 1))
                         .errors())
                 .hasSize(1);
@@ -170,24 +170,24 @@
         assertThat(DocumentReader.read(wrong).errors()).hasSize(100);
     }
 
-    /** The published schema and the reader name the same fields, or an editor would refuse what the system takes. */
+    /** Guards against a published schema by which an editor rejects a field that the reader accepts, or the reverse. */
     @Test
-    void theSchemaNamesTheFieldsThatTheReaderKnows() throws IOException {
+    void schemaListsTheFieldsThatTheReaderAccepts() throws IOException {
         JsonNode schema = Json.parse(Files.readAllBytes(ROOT.resolve("docs/service-document.schema.json")))
                 .orElseThrow();
         JsonNode properties = schema.path("properties");
-        assertThat(knownAt("x: 1", "")).isEqualTo(names(properties));
-        assertThat(knownAt("limits: {x: 1}", "limits.")).isEqualTo(names(properties.at("/limits/properties")));
-        assertThat(knownAt("accounts: [{x: 1}]", "accounts[0]."))
+        assertThat(knownFieldsAt("x: 1", "")).isEqualTo(names(properties));
+        assertThat(knownFieldsAt("limits: {x: 1}", "limits.")).isEqualTo(names(properties.at("/limits/properties")));
+        assertThat(knownFieldsAt("accounts: [{x: 1}]", "accounts[0]."))
                 .isEqualTo(names(properties.at("/accounts/items/properties")));
-        assertThat(knownAt("nonIdempotentCalls: [{x: 1}]", "nonIdempotentCalls[0]."))
+        assertThat(knownFieldsAt("nonIdempotentCalls: [{x: 1}]", "nonIdempotentCalls[0]."))
                 .isEqualTo(names(properties.at("/nonIdempotentCalls/items/properties")));
     }
 
-    private static String knownAt(String text, String path) {
+    private static String knownFieldsAt(String text, String path) {
         return DocumentReader.read(text).errors().stream()
                 .filter(error -> error.path().equals(path + "x"))
-                .map(error -> error.expected().replaceFirst(".*known are ", ""))
+                .map(error -> error.expected().replaceFirst(".*the known fields are ", ""))
                 .findFirst()
                 .orElseThrow();
     }
