--- a/wire/src/main/java/org/quetzalshunt/wire/json/Json.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/json/Json.java
@@ -12,7 +12,7 @@
 import java.io.IOException;
 import java.util.Optional;
 
-/** Reads and writes JSON trees. */
+/** Parses and writes JSON trees. */
 public final class Json {
     private static final int MAXIMUM_DEPTH = 64;
     private static final ObjectMapper MAPPER = new ObjectMapper(JsonFactory.builder()
@@ -24,17 +24,17 @@
 
     private Json() {}
 
-    /** An empty object. */
+    /** Creates an empty object. */
     public static ObjectNode object() {
         return JsonNodeFactory.instance.objectNode();
     }
 
-    /** An empty array. */
+    /** Creates an empty array. */
     public static ArrayNode array() {
         return JsonNodeFactory.instance.arrayNode();
     }
 
-    /** Parses bytes; empty when they are not exactly one JSON value. */
+    /** Parses bytes; empty unless they are exactly one JSON value. */
     public static Optional<JsonNode> parse(byte[] bytes) {
         try {
             JsonNode node = MAPPER.readTree(bytes);
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Writes a tree as indented text, for people. */
+    /** Writes a tree as indented text for human readers. */
     public static String pretty(JsonNode node) {
         return node.toPrettyString();
     }
--- a/wire/src/main/java/org/quetzalshunt/wire/json/package-info.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/json/package-info.java
@@ -1,2 +1,2 @@
-/** JSON by Jackson, behind one small class, so that limits are set in one place. */
+/** Access to JSON through one class around Jackson, which sets the parser limits in one place. */
 package org.quetzalshunt.wire.json;
--- a/wire/src/main/java/org/quetzalshunt/wire/message/LimitMessageCodec.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/message/LimitMessageCodec.java
@@ -15,11 +15,11 @@
 import org.quetzalshunt.wire.generated.LimitTransfer;
 import org.quetzalshunt.wire.generated.Message;
 
-/** Messages between the limits of two entries, as Thrift values. */
+/** Converts the messages by which entries distribute the rate limits of accounts to Thrift values and back. */
 public final class LimitMessageCodec {
     private LimitMessageCodec() {}
 
-    /** The Thrift value of a message. */
+    /** Converts a message to its Thrift value. */
     public static Message write(LimitMessage message) {
         if (message instanceof LimitMessage.Request request) {
             return Message.limitRequest(writeRequest(request));
@@ -45,7 +45,7 @@
         return Message.limitLeaseWord(new LimitLeaseWord(word.generation(), word.sentMillis()));
     }
 
-    /** The message of a Thrift value; empty for other messages, and for one that lacks a field. */
+    /** Converts a Thrift value to a message; empty for other kinds of messages and if a required field is absent. */
     public static Optional<LimitMessage> read(Message message) {
         return switch (message.getSetField()) {
             case LIMIT_REQUEST -> readRequest(message.getLimitRequest());
--- a/wire/src/main/java/org/quetzalshunt/wire/message/MessageCodec.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/message/MessageCodec.java
@@ -9,9 +9,9 @@
 import org.apache.thrift.transport.TMemoryInputTransport;
 import org.quetzalshunt.wire.generated.Message;
 
-/** Encodes and decodes Thrift values. A value that cannot be decoded is an empty result, never an exception. */
+/** Encodes and decodes Thrift values. Malformed bytes yield an empty or false result, never an exception. */
 public final class MessageCodec {
-    /** Largest message; a body of 8 MiB and its headers fit. */
+    /** Maximum size of a message, which allows for a body of 8 MiB and its headers. */
     public static final int MAXIMUM_BYTES = 12 * 1024 * 1024;
 
     private static final int INITIAL_BYTES = 256;
@@ -20,7 +20,7 @@
 
     private MessageCodec() {}
 
-    /** Bytes of any Thrift value. */
+    /** Encodes a Thrift value. */
     public static byte[] encode(TBase<?, ?> value) {
         try {
             TMemoryBuffer buffer = new TMemoryBuffer(INITIAL_BYTES);
@@ -33,19 +33,19 @@
         }
     }
 
-    /** Fills an empty value from bytes; false when they are not such a value. */
-    public static boolean decode(byte[] bytes, TBase<?, ?> into) {
+    /** Decodes bytes into an empty value; false if the bytes are malformed. */
+    public static boolean decode(byte[] bytes, TBase<?, ?> target) {
         try {
             TMemoryInputTransport transport = new TMemoryInputTransport(CONFIGURATION, bytes);
-            into.read(new TCompactProtocol(transport, MAXIMUM_BYTES, MAXIMUM_BYTES));
+            target.read(new TCompactProtocol(transport, MAXIMUM_BYTES, MAXIMUM_BYTES));
             return true;
         } catch (TException | RuntimeException malformed) {
-            // Generated readers throw unchecked exceptions, such as NegativeArraySizeException, on hostile lengths.
+            // Generated readers throw unchecked exceptions, such as NegativeArraySizeException, for invalid lengths.
             return false;
         }
     }
 
-    /** Reads one message; empty for bytes that are none, and for a member that this version does not know. */
+    /** Decodes a message; empty if the bytes are malformed or contain a kind of message that this version does not support. */
     public static Optional<Message> decodeMessage(byte[] bytes) {
         Message message = new Message();
         if (!decode(bytes, message) || !message.isSet()) {
--- a/wire/src/main/java/org/quetzalshunt/wire/message/package-info.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/message/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between processes as Thrift compact protocol bytes, with bounds on every length. */
+/** Codecs for messages between processes, in the Thrift compact protocol with bounds on all lengths. */
 package org.quetzalshunt.wire.message;
--- a/wire/src/main/java/org/quetzalshunt/wire/record/ConfigurationRecordCodec.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/record/ConfigurationRecordCodec.java
@@ -16,12 +16,12 @@
 import org.quetzalshunt.wire.generated.Opaque;
 import org.quetzalshunt.wire.message.MessageCodec;
 
-/** Octets of the configuration stream's records to changes and back. */
+/** Encodes configuration changes as records of the configuration stream and decodes them. */
 public final class ConfigurationRecordCodec {
-    /** Largest record; a batch frame and this fit one append. */
+    /** Maximum size of a record, such that a batch frame with the record fits into one append. */
     public static final int MAXIMUM_RECORD_BYTES = 900_000;
 
-    /** Largest part of a checkpoint's state, so that its record keeps the bound. */
+    /** Maximum size of a part of the state in a checkpoint, such that its record is within the bound for records. */
     public static final int MAXIMUM_STATE_PART_BYTES = 800_000;
 
     private static final int MAXIMUM_NAME_LENGTH = 256;
@@ -29,12 +29,12 @@
 
     private ConfigurationRecordCodec() {}
 
-    /** Octets of a change. */
+    /** Encodes a change. */
     public static byte[] encode(ConfigurationChange change) {
         return MessageCodec.encode(toRecord(change));
     }
 
-    /** Reads octets; empty when they are no change, one of a newer version, one beyond the bounds, or an invalid one. */
+    /** Decodes a record; empty if it is malformed, invalid, out of bounds, or of a kind from a newer version. */
     public static Optional<ConfigurationChange> decode(byte[] octets) {
         ConfigurationRecord record = new ConfigurationRecord();
         if (octets.length > MAXIMUM_RECORD_BYTES || !MessageCodec.decode(octets, record) || !record.isSet()) {
@@ -89,7 +89,7 @@
     }
 
     private static Optional<ConfigurationChange> fromDocumentPut(DocumentPut put) {
-        if (!areNames(put.getServiceName(), put.getTeam(), put.getAuthor(), put.getChange())
+        if (!areValidNames(put.getServiceName(), put.getTeam(), put.getAuthor(), put.getChange())
                 || put.getDocument() == null) {
             return Optional.empty();
         }
@@ -111,7 +111,7 @@
     }
 
     private static Optional<ConfigurationChange> fromAuditNote(AuditNote note) {
-        if (!areNames(note.getAuthor(), note.getServiceName())
+        if (!areValidNames(note.getAuthor(), note.getServiceName())
                 || note.getDetail() == null
                 || note.getDetail().length() > MAXIMUM_DETAIL_LENGTH) {
             return Optional.empty();
@@ -134,14 +134,14 @@
     }
 
     private static Optional<ConfigurationChange> fromOpaque(Opaque opaque) {
-        if (!areNames(opaque.getKind()) || opaque.getPayload() == null) {
+        if (!areValidNames(opaque.getKind()) || opaque.getPayload() == null) {
             return Optional.empty();
         }
         return Optional.of(new OpaqueChange(opaque.getKind(), opaque.getPayload()));
     }
 
-    /** Whether all are there and short enough to be names. */
-    static boolean areNames(String... names) {
+    /** Whether all names are present and within the maximum length of a name. */
+    static boolean areValidNames(String... names) {
         for (String name : names) {
             if (name == null || name.length() > MAXIMUM_NAME_LENGTH) {
                 return false;
--- a/wire/src/main/java/org/quetzalshunt/wire/record/LimitGenerationCodec.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/record/LimitGenerationCodec.java
@@ -9,9 +9,9 @@
 import org.quetzalshunt.core.vm.VmId;
 import org.quetzalshunt.wire.generated.LimitGeneration;
 
-/** Generations of the fleet's limits as Thrift values. */
+/** Converts generations of the distributed rate limits to Thrift values and back. */
 final class LimitGenerationCodec {
-    /** Most VMs of one generation, far beyond the largest fleet. */
+    /** Maximum number of VMs in a generation, far above the size of the largest deployment. */
     private static final int MAXIMUM_MEMBERS = 10_000;
 
     private LimitGenerationCodec() {}
@@ -33,7 +33,9 @@
     static Optional<ConfigurationChange> read(LimitGeneration generation) {
         Optional<List<VmId>> members = ids(generation.getMembers(), generation.getMemberIncarnations());
         Optional<List<VmId>> former = ids(generation.getFormerMembers(), generation.getFormerIncarnations());
-        if (!ConfigurationRecordCodec.areNames(generation.getCoordinator()) || members.isEmpty() || former.isEmpty()) {
+        if (!ConfigurationRecordCodec.areValidNames(generation.getCoordinator())
+                || members.isEmpty()
+                || former.isEmpty()) {
             return Optional.empty();
         }
         LimitGenerationRecord value = new LimitGenerationRecord(
@@ -49,7 +51,7 @@
         if (names == null || incarnations == null || names.size() != incarnations.size()) {
             return Optional.empty();
         }
-        if (names.size() > MAXIMUM_MEMBERS || !ConfigurationRecordCodec.areNames(names.toArray(new String[0]))) {
+        if (names.size() > MAXIMUM_MEMBERS || !ConfigurationRecordCodec.areValidNames(names.toArray(new String[0]))) {
             return Optional.empty();
         }
         List<VmId> ids = new ArrayList<>();
--- a/wire/src/main/java/org/quetzalshunt/wire/record/ShardRecords.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/record/ShardRecords.java
@@ -17,11 +17,11 @@
 import org.quetzalshunt.wire.generated.TurnEnded;
 import org.quetzalshunt.wire.message.MessageCodec;
 
-/** Records of the shard streams as Thrift compact protocol bytes. A record with a missing field is no record. */
+/** Encodes and decodes the records of the shard streams, in the Thrift compact protocol. A record without a required field is malformed. */
 public final class ShardRecords implements ShardRecordCodec {
     private ShardRecords() {}
 
-    /** Makes the codec; it has no state. */
+    /** Creates the codec, which is stateless. */
     public static ShardRecords create() {
         return new ShardRecords();
     }
@@ -113,7 +113,8 @@
         thrift.setRequestDigest(ended.requestDigest());
         thrift.setPreviousHash(ended.previousHash());
         thrift.setMessages(ended.messages());
-        // Named by its key, an answer is kept whole for re-sends; without one, the message in the history is enough.
+        // With an idempotency key the whole response is stored for repeated requests. Without a key only the answer is
+        // stored.
         thrift.setAnswer(ended.answer());
         thrift.setStatus(ended.stored().status());
         thrift.setContentType(ended.stored().contentType());
@@ -149,19 +150,19 @@
             case RESERVATION_RAISED ->
                 new ShardRecord.ReservationRaised(
                         record.getReservationRaised().getEpoch(),
-                        text(record.getReservationRaised().getProgram()),
+                        required(record.getReservationRaised().getProgram()),
                         record.getReservationRaised().getTokens());
             case BUDGET_CHARGED ->
                 new ShardRecord.BudgetCharged(
                         record.getBudgetCharged().getEpoch(),
-                        text(record.getBudgetCharged().getProgram()),
+                        required(record.getBudgetCharged().getProgram()),
                         record.getBudgetCharged().getTokens());
             case CALL_INTENT -> intent(record.getCallIntent());
             case CALL_ENDED -> callEnded(record.getCallEnded());
             case PROGRAM_ENDED ->
                 new ShardRecord.ProgramEnded(
                         record.getProgramEnded().getEpoch(),
-                        text(record.getProgramEnded().getProgram()),
+                        required(record.getProgramEnded().getProgram()),
                         record.getProgramEnded().getResultCode(),
                         record.getProgramEnded().getEndedMillis());
             case CHECKPOINT ->
@@ -170,41 +171,41 @@
                         record.getCheckpoint().getCoversBelow(),
                         record.getCheckpoint().getPart(),
                         record.getCheckpoint().getParts(),
-                        octets(record.getCheckpoint().getState()));
+                        required(record.getCheckpoint().getState()));
             default -> null;
         };
     }
 
     private static ShardRecord claim(ClaimRecord claim) {
         return new ShardRecord.Claim(
-                claim.getBasedOnEpoch(), text(claim.getVm()), claim.getIncarnation(), claim.isRelease());
+                claim.getBasedOnEpoch(), required(claim.getVm()), claim.getIncarnation(), claim.isRelease());
     }
 
     private static ShardRecord created(ProgramCreated created) {
         return new ShardRecord.ProgramCreated(
                 created.getEpoch(),
-                text(created.getProgram()),
-                text(created.getClientAccount()),
+                required(created.getProgram()),
+                required(created.getClientAccount()),
                 Optional.ofNullable(created.getParent()),
                 created.getBudgetTokens(),
                 created.getReservationTokens(),
                 created.getCreatedMillis(),
                 created.isImplicitProgram(),
-                text(created.getRequestId()));
+                required(created.getRequestId()));
     }
 
     private static ShardRecord turnEnded(TurnEnded ended) {
         return new ShardRecord.TurnEnded(
                 ended.getEpoch(),
-                text(ended.getProgram()),
+                required(ended.getProgram()),
                 ended.getTurn(),
-                text(ended.getRequestId()),
+                required(ended.getRequestId()),
                 Optional.ofNullable(ended.getIdempotencyKey()),
-                octets(ended.getRequestDigest()),
-                octets(ended.getPreviousHash()),
-                octets(ended.getMessages()),
-                octets(ended.getAnswer()),
-                new StoredAnswer(ended.getStatus(), text(ended.getContentType()), octets(ended.getStored())),
+                required(ended.getRequestDigest()),
+                required(ended.getPreviousHash()),
+                required(ended.getMessages()),
+                required(ended.getAnswer()),
+                new StoredAnswer(ended.getStatus(), required(ended.getContentType()), required(ended.getStored())),
                 new TurnUsage(ended.getPromptTokens(), ended.getCachedTokens(), ended.getCompletionTokens()),
                 ended.getSpentTokens(),
                 ended.getNextReservationTokens(),
@@ -214,30 +215,30 @@
     private static ShardRecord intent(CallIntent intent) {
         return new ShardRecord.CallIntent(
                 intent.getEpoch(),
-                text(intent.getClientAccount()),
-                text(intent.getIdempotencyKey()),
-                text(intent.getServiceName()),
-                text(intent.getRequestId()),
-                octets(intent.getRequestDigest()),
+                required(intent.getClientAccount()),
+                required(intent.getIdempotencyKey()),
+                required(intent.getServiceName()),
+                required(intent.getRequestId()),
+                required(intent.getRequestDigest()),
                 intent.getIntendedMillis());
     }
 
     private static ShardRecord callEnded(CallEnded ended) {
         return new ShardRecord.CallEnded(
                 ended.getEpoch(),
-                text(ended.getClientAccount()),
-                text(ended.getIdempotencyKey()),
-                text(ended.getRequestId()),
+                required(ended.getClientAccount()),
+                required(ended.getIdempotencyKey()),
+                required(ended.getRequestId()),
                 ended.getResultCode(),
-                new StoredAnswer(ended.getStatus(), text(ended.getContentType()), octets(ended.getAnswer())),
+                new StoredAnswer(ended.getStatus(), required(ended.getContentType()), required(ended.getAnswer())),
                 ended.getEndedMillis());
     }
 
-    private static String text(String value) {
+    private static String required(String value) {
         return java.util.Objects.requireNonNull(value);
     }
 
-    private static byte[] octets(byte[] value) {
+    private static byte[] required(byte[] value) {
         return java.util.Objects.requireNonNull(value);
     }
 }
--- a/wire/src/main/java/org/quetzalshunt/wire/record/StoredRecords.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/record/StoredRecords.java
@@ -13,19 +13,19 @@
 import org.quetzalshunt.wire.generated.StoredTurn;
 import org.quetzalshunt.wire.message.MessageCodec;
 
-/** Records of the shared map as Thrift compact protocol bytes. Bytes that are no such record decode to nothing. */
+/** Encodes and decodes the records of the shared map, in the Thrift compact protocol. Malformed bytes decode to an empty result. */
 public final class StoredRecords {
     /**
-     * Tokens that a VM may hand out.
+     * Tokens of a program's budget that are allotted to a VM.
      *
-     * @param tokens allotment
-     * @param expiresMillis time of day until which it counts, in Unix milliseconds
+     * @param tokens number of allotted tokens
+     * @param expiresMillis end of its validity, in Unix milliseconds
      */
     public record Allotment(long tokens, long expiresMillis) {}
 
     private StoredRecords() {}
 
-    /** Bytes of a turn; its id is its key. */
+    /** Encodes a turn without its id, which is the key of the record. */
     public static byte[] encode(TurnRecord turn) {
         return MessageCodec.encode(new StoredTurn(
                 turn.account(),
@@ -35,7 +35,7 @@
                 turn.expiresMillis()));
     }
 
-    /** A turn from its key and bytes. */
+    /** Decodes a turn from its key and its record. */
     public static Optional<TurnRecord> turn(String id, byte[] bytes) {
         StoredTurn stored = new StoredTurn();
         if (!MessageCodec.decode(bytes, stored) || stored.getAccount() == null || stored.getAncestors() == null) {
@@ -53,12 +53,12 @@
                 stored.getExpiresMillis()));
     }
 
-    /** Bytes of an allotment. */
+    /** Encodes an allotment. */
     public static byte[] encode(Allotment allotment) {
         return MessageCodec.encode(new StoredAllotment(allotment.tokens(), allotment.expiresMillis()));
     }
 
-    /** An allotment from its bytes. */
+    /** Decodes an allotment. */
     public static Optional<Allotment> allotment(byte[] bytes) {
         StoredAllotment stored = new StoredAllotment();
         if (!MessageCodec.decode(bytes, stored)) {
@@ -67,7 +67,7 @@
         return Optional.of(new Allotment(stored.getTokens(), stored.getExpiresMillis()));
     }
 
-    /** Bytes of a heartbeat. */
+    /** Encodes a heartbeat. */
     public static byte[] encode(VmHeartbeat heartbeat) {
         return MessageCodec.encode(new StoredHeartbeat(
                 heartbeat.incarnation(),
@@ -77,7 +77,7 @@
                 heartbeat.stopping()));
     }
 
-    /** A heartbeat from its bytes. */
+    /** Decodes a heartbeat. */
     public static Optional<VmHeartbeat> heartbeat(byte[] bytes) {
         StoredHeartbeat stored = new StoredHeartbeat();
         if (!MessageCodec.decode(bytes, stored) || stored.getLinkAddress() == null) {
@@ -91,14 +91,14 @@
                 stored.isStopping()));
     }
 
-    /** Bytes of a share of a quota. */
+    /** Encodes a quota share. */
     public static byte[] encode(QuotaShare share) {
         LeaseTerm term = share.term();
         return MessageCodec.encode(
                 new StoredQuotaShare(term.incarnation(), term.epoch(), share.sequence(), share.parts()));
     }
 
-    /** A share of a quota from its bytes. */
+    /** Decodes a quota share. */
     public static Optional<QuotaShare> quotaShare(byte[] bytes) {
         StoredQuotaShare stored = new StoredQuotaShare();
         if (!MessageCodec.decode(bytes, stored)) {
--- a/wire/src/main/java/org/quetzalshunt/wire/record/package-info.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/record/package-info.java
@@ -1,2 +1,2 @@
-/** Records of the log as Thrift values, read into the values that the folds work on, with bounds on every size. */
+/** Codecs for the records of the log and of the shared map, in the Thrift compact protocol with bounds on all sizes. */
 package org.quetzalshunt.wire.record;
--- a/wire/src/test/java/org/quetzalshunt/wire/message/LimitMessageCodecTest.java
+++ b/wire/src/test/java/org/quetzalshunt/wire/message/LimitMessageCodecTest.java
@@ -27,7 +27,7 @@
 
     @ParameterizedTest
     @MethodSource("messages")
-    void whatIsWrittenIsRead(LimitMessage message) {
+    void decodedMessageEqualsTheEncodedOne(LimitMessage message) {
         byte[] bytes = MessageCodec.encode(LimitMessageCodec.write(message));
 
         assertThat(MessageCodec.decodeMessage(bytes).flatMap(LimitMessageCodec::read))
--- a/wire/src/test/java/org/quetzalshunt/wire/record/ConfigurationRecordCodecTest.java
+++ b/wire/src/test/java/org/quetzalshunt/wire/record/ConfigurationRecordCodecTest.java
@@ -54,13 +54,13 @@
 
     @ParameterizedTest
     @MethodSource("changes")
-    void whatIsWrittenIsRead(ConfigurationChange change) {
+    void decodedChangeEqualsTheEncodedOne(ConfigurationChange change) {
         assertThat(ConfigurationRecordCodec.decode(ConfigurationRecordCodec.encode(change)))
                 .hasValue(change);
     }
 
     @Test
-    void aCheckpointKeepsItsParts() {
+    void checkpointKeepsItsPartNumbers() {
         CheckpointChange change = new CheckpointChange(5, 1, 3, new byte[] {1, 2});
         CheckpointChange read =
                 (CheckpointChange) ConfigurationRecordCodec.decode(ConfigurationRecordCodec.encode(change))
@@ -72,29 +72,29 @@
     }
 
     /**
-     * Whatever a foreign writer puts on the stream, every cut of a good record and every octet changed in it, must come
-     * out as a change or as nothing. An exception would stop the fold of every process at that record.
+     * Guards against an exception for a truncated or corrupted record, after which no process could apply the records
+     * behind it. Any writer can append such a record to the stream.
      */
     @Test
-    void damagedOctetsAreNoChangeAndNoException() {
+    void damagedRecordsDecodeWithoutException() {
         byte[] good = ConfigurationRecordCodec.encode(put("tutor", TEXT));
         for (int length = 0; length < good.length; length++) {
             assertThat(ConfigurationRecordCodec.decode(Arrays.copyOf(good, length)))
                     .isEmpty();
         }
-        int read = 0;
-        for (int place = 0; place < good.length; place++) {
+        int decodedCount = 0;
+        for (int index = 0; index < good.length; index++) {
             for (int value = 0; value < 256; value += 5) {
                 byte[] damaged = good.clone();
-                damaged[place] = (byte) value;
-                read += ConfigurationRecordCodec.decode(damaged).isPresent() ? 1 : 0;
+                damaged[index] = (byte) value;
+                decodedCount += ConfigurationRecordCodec.decode(damaged).isPresent() ? 1 : 0;
             }
         }
-        assertThat(read).isAtLeast(1);
+        assertThat(decodedCount).isAtLeast(1);
     }
 
     @Test
-    void recordsBeyondTheBoundsAreNoChange() {
+    void recordsOutOfBoundsAreRejected() {
         String name = "n".repeat(300);
         assertThat(ConfigurationRecordCodec.decode(ConfigurationRecordCodec.encode(put(name, TEXT))))
                 .isEmpty();
@@ -106,9 +106,9 @@
                 .isEmpty();
     }
 
-    /** The configuration of 200 accounts at each of 7 services must fit a few records, and bounded memory. */
+    /** Guards against a checkpoint that loses documents or needs many records, with 200 accounts in each of 7 services. */
     @Test
-    void aLargeConfigurationSurvivesItsCheckpoint() {
+    void largeConfigurationIsRestoredFromItsCheckpoint() {
         Configuration whole = Configuration.create(ConfigurationRecordCodec::decode);
         for (int service = 0; service < 7; service++) {
             DocumentChange change = largeDocument("service" + service);
