--- a/standin/src/main/java/org/quetzalshunt/standin/engine/Batch.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/Batch.java
@@ -101,7 +101,9 @@
         loop.schedule(() -> endStep(streams, prefills), micros, TimeUnit.MICROSECONDS);
     }
 
-    /** A run whose prefill ends in this step emits its first word in the same step, since prefill computes that word. */
+    /**
+     * A run whose prefill ends in this step emits its first word in the same step, since prefill computes that word.
+     */
     private void endStep(List<EngineRun> streams, List<Prefill> prefills) {
         for (Prefill prefill : prefills) {
             prefill.run().prefill(prefill.tokens());
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/BatchSettings.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/BatchSettings.java
@@ -6,8 +6,8 @@
  * @param slots maximum number of requests that run concurrently
  * @param waitingLimit maximum number of requests that wait for a slot; further ones get status 503
  * @param prefillTokensPerSecond prefill rate for prompt tokens outside the cache
- * @param prefillChunkTokens maximum number of prompt tokens processed in one step, so that a long prompt slows the other
- *     streams down and does not stop them
+ * @param prefillChunkTokens maximum number of prompt tokens processed in one step, so that a long prompt slows the
+ *     other streams down and does not stop them
  * @param stepMicros duration of one step, in which each running stream emits one token, in microseconds
  * @param stepMicrosPerStream time that each running stream adds to a step, in microseconds
  */
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/CacheHandler.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/CacheHandler.java
@@ -8,8 +8,8 @@
 import org.quetzalshunt.standin.control.StandinServer;
 
 /**
- * HTTP calls on single cache entries: free, export and import. The duration of an export or import is proportional to the
- * size of the entry.
+ * HTTP calls on single cache entries: free, export and import. The duration of an export or import is proportional to
+ * the size of the entry.
  */
 final class CacheHandler {
     static final String PREFIX = "/engine/cache/";
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/CacheSettings.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/CacheSettings.java
@@ -9,7 +9,10 @@
  * @param transferTokensPerSecond rate of export and import
  */
 public record CacheSettings(int capacityTokens, long eventLagMillis, int lostEventEvery, int transferTokensPerSecond) {
-    /** Capacity for about thirty conversations of 6,000 tokens; events are half a second late, and one in twenty is lost. */
+    /**
+     * Capacity for about thirty conversations of 6,000 tokens; events are half a second late, and one in twenty is
+     * lost.
+     */
     public static CacheSettings defaults() {
         return new CacheSettings(200_000, 500, 20, 100_000);
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/ChatHandler.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/ChatHandler.java
@@ -96,7 +96,10 @@
         exchange.respond(204, Map.of(), new byte[0]);
     }
 
-    /** Keeps a finished run for the resume period, for readers whose connection was closed before the end of the answer. */
+    /**
+     * Keeps a finished run for the resume period, for readers whose connection was closed before the end of the
+     * answer.
+     */
     void retainForResume(EngineRun run) {
         loop.schedule(() -> remove(run), settings.resumeMillis(), TimeUnit.MILLISECONDS);
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/EngineStandin.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/EngineStandin.java
@@ -16,7 +16,9 @@
 import org.quetzalshunt.standin.control.RunLog;
 import org.quetzalshunt.standin.control.StandinServer;
 
-/** Server that stands in for a model engine. Models its use of time and memory, and answers with {@link StandinAnswer}. */
+/**
+ * Server that stands in for a model engine. Models its use of time and memory, and answers with {@link StandinAnswer}.
+ */
 public final class EngineStandin {
     private static final Set<FaultKind> SUPPORTED = EnumSet.of(
             FaultKind.CRASH,
@@ -62,8 +64,8 @@
     }
 
     /**
-     * Binds the address and starts to serve. A fault that halts the process only closes the server. Must not be called on
-     * an event loop of the group.
+     * Binds the address and starts to serve. A fault that halts the process only closes the server. Must not be called
+     * on an event loop of the group.
      */
     public static EngineStandin start(EventLoopGroup group, InetSocketAddress address, EngineSettings settings) {
         EventLoop loop = group.next();
@@ -72,7 +74,10 @@
         return engine;
     }
 
-    /** Like {@link #start(EventLoopGroup, InetSocketAddress, EngineSettings)}, with the action of the faults that halt the process. */
+    /**
+     * Like {@link #start(EventLoopGroup, InetSocketAddress, EngineSettings)}, with the action of the faults that halt
+     * the process.
+     */
     public static EngineStandin start(
             EventLoopGroup group, InetSocketAddress address, EngineSettings settings, Runnable halt) {
         EngineStandin engine = start(group, address, settings);
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/OrderHandler.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/OrderHandler.java
@@ -15,8 +15,8 @@
 
 /**
  * HTTP calls for orders to load and unload models and to change the role. An order takes effect after its duration,
- * regardless of orders that were accepted in the meantime. Without a check of fencing tokens, an old slow order therefore
- * reverts a newer one; the sidecar has to prevent that failure for such engines.
+ * regardless of orders that were accepted in the meantime. Without a check of fencing tokens, an old slow order
+ * therefore reverts a newer one. The system has to prevent that failure for such engines.
  */
 final class OrderHandler {
     private static final int MAXIMUM_STATES = 1_000;
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/PrefixCache.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/PrefixCache.java
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Stores a conversation that has no cache key and removes the unnamed entries that it extends. An engine that shares
-     * cache blocks by content would likewise store the common prefix only once.
+     * Stores a conversation that has no cache key and removes the unnamed entries that it extends. An engine that
+     * shares cache blocks by content would likewise store the common prefix only once.
      */
     void storeUnnamed(Prefix prefix) {
         List<String> extended = entries.entrySet().stream()
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/StandinAnswer.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/StandinAnswer.java
@@ -8,8 +8,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Answer of the stand-in engine to a list of messages, as words. The first word is a digest of the roles and contents of
- * all messages, from which the other words are derived. The answer has {@code N} words if the last message contains
+ * Answer of the stand-in engine to a list of messages, as words. The first word is a digest of the roles and contents
+ * of all messages, from which the other words are derived. The answer has {@code N} words if the last message contains
  * {@code [words=N]}, otherwise 16 to 32, and never more than {@code max_tokens}.
  *
  * @param words tokens of the answer; the text joins them with single spaces
--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/SmallPlatform.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/SmallPlatform.java
@@ -17,9 +17,9 @@
 import org.quetzalshunt.server.http.WholeAnswer;
 
 /**
- * Small deployment around one gateway on the loopback address: a store with a configuration, a server, the settings file
- * of the gateway, and a client. Used for a run that records the class-data archive of the gateway, in which only the executed
- * code paths matter.
+ * Small deployment around one gateway on the loopback address: a store with a configuration, a server, the settings
+ * file of the gateway, and a client. Used for a run that records the class-data archive of the gateway, in which only
+ * the executed code paths matter.
  */
 public final class SmallPlatform implements AutoCloseable {
     private static final String CONFIGURATION =
--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreStandin.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreStandin.java
@@ -22,8 +22,8 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * Server that stands in for the store of the platform, in memory: appends with an optional condition on the offset, reads
- * that wait for new records, and queries for the newest record of each key.
+ * Server that stands in for the store of the platform, in memory: appends with an optional condition on the offset,
+ * reads that wait for new records, and queries for the newest record of each key.
  */
 public final class StoreStandin implements AutoCloseable {
     private static final int MAXIMUM_WAIT_MILLIS = 30_000;
--- a/standin/src/main/java/org/quetzalshunt/standin/platform/LogStream.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/platform/LogStream.java
@@ -9,8 +9,8 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * Stream of the log service: records at contiguous offsets, of which the oldest are dropped by age, and the readers that
- * wait for the nextOffset append.
+ * Stream of the log service: records at contiguous offsets, of which the oldest are dropped by age, and the readers
+ * that wait for the nextOffset append.
  */
 final class LogStream {
     private final Long2ObjectHashMap<Entry> entries = new Long2ObjectHashMap<>();
@@ -42,7 +42,9 @@
         }
     }
 
-    /** Body of a read response. Contains at least one record if there is any, so that a reader always makes progress. */
+    /**
+     * Body of a read response. Contains at least one record if there is any, so that a reader always makes progress.
+     */
     byte[] read(long from, long maximumBytes) {
         ObjectNode root = Json.object().put("first", firstOffset).put("next", nextOffset);
         ArrayNode records = root.putArray("records");
--- a/standin/src/main/java/org/quetzalshunt/standin/platform/PlatformSettings.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/platform/PlatformSettings.java
@@ -21,8 +21,8 @@
         Set<String> missingWeights) {
 
     /**
-     * 400 appends per second, for the required "several hundred", a retention of ten minutes, and a VM list with a delay
-     * of one second.
+     * 400 appends per second, for the required "several hundred", a retention of ten minutes, and a VM list with a
+     * delay of one second.
      */
     public static PlatformSettings defaults() {
         return new PlatformSettings(400, 600_000, 1_000, 500, 2, Set.of());
--- a/standin/src/test/java/org/quetzalshunt/standin/engine/PrefixCacheTest.java
+++ b/standin/src/test/java/org/quetzalshunt/standin/engine/PrefixCacheTest.java
@@ -19,8 +19,8 @@
     }
 
     /**
-     * Guards against eviction of a held entry. The held entries of ended programs occupy the cache, so that the prompts of
-     * running programs need a full prefill in each turn, until the entries are freed.
+     * Guards against eviction of a held entry. The held entries of ended programs occupy the cache, so that the
+     * prompts of running programs need a full prefill in each turn, until the entries are freed.
      */
     @Test
     void heldEntryIsNotEvictedUntilItIsFreed() {
--- a/wire/src/main/java/org/quetzalshunt/wire/document/DocumentReader.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/document/DocumentReader.java
@@ -16,12 +16,12 @@
 import org.quetzalshunt.core.document.ServiceLimits;
 
 /**
- * Parses and validates a service document in YAML or JSON. The result is the document, or all errors with their lines and
- * paths: unknown fields, values of the wrong type or out of bounds, and duplicate names or keys.
+ * Parses and validates a service document in YAML or JSON. The result is the document, or all errors with their lines
+ * and paths: unknown fields, values of the wrong type or out of bounds, and duplicate names or keys.
  *
- * <p>All processes of a deployment must read a text with the same result, because a process skips a configuration record
- * whose document is not valid. A check may therefore be made stricter only if no active document violates it, and a new field
- * may be used only after every VM runs a version that supports it.
+ * <p>All processes of a deployment must read a text with the same result, because a process skips a configuration
+ * record whose document is not valid. A check may therefore be made stricter only if no active document violates it,
+ * and a new field may be used only after every VM runs a version that supports it.
  */
 public final class DocumentReader {
     /** Maximum size of a text, such that the record with the document fits into one append. */
--- a/wire/src/main/java/org/quetzalshunt/wire/document/FieldReader.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/document/FieldReader.java
@@ -15,8 +15,8 @@
 import org.quetzalshunt.wire.document.LocatedNode.Sequence;
 
 /**
- * Reads and validates the fields of one mapping. An invalid value adds an error and is replaced by a valid value, so that
- * all further errors of the document are found too. The document is then rejected as a whole.
+ * Reads and validates the fields of one mapping. An invalid value adds an error and is replaced by a valid value, so
+ * that all further errors of the document are found too. The document is then rejected as a whole.
  */
 final class FieldReader {
     private static final int MAXIMUM_DIGITS = 18;
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Creates a reader of a mapping. For any other node it adds one error and creates a reader without fields, whose errors
-     * are dropped.
+     * Creates a reader of a mapping. For any other node it adds one error and creates a reader without fields, whose
+     * errors are dropped.
      */
     static FieldReader of(LocatedNode node, String path, List<DocumentError> errors) {
         if (node instanceof Mapping mapping) {
@@ -112,7 +112,9 @@
         return of(node, fieldPath(name), errors);
     }
 
-    /** Adds an error for each field that was not read. Otherwise the default would silently apply for a misspelt name. */
+    /**
+     * Adds an error for each field that was not read. Otherwise the default would silently apply for a misspelt name.
+     */
     void rejectUnknownFields() {
         mapping.fields().forEach((name, node) -> {
             if (!knownFields.contains(name)) {
--- a/wire/src/main/java/org/quetzalshunt/wire/document/LocatedTree.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/document/LocatedTree.java
@@ -18,8 +18,8 @@
 import org.quetzalshunt.wire.document.LocatedNode.Sequence;
 
 /**
- * Parses YAML or JSON to a tree of values with their lines. YAML aliases are rejected, because a few nested aliases expand
- * a small text to a tree that exhausts the memory.
+ * Parses YAML or JSON to a tree of values with their lines. YAML aliases are rejected, because a few nested aliases
+ * expand a small text to a tree that exhausts the memory.
  */
 final class LocatedTree {
     private static final int MAXIMUM_DEPTH = 8;
--- a/wire/src/main/java/org/quetzalshunt/wire/message/MessageCodec.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/message/MessageCodec.java
@@ -45,7 +45,10 @@
         }
     }
 
-    /** Decodes a message; empty if the bytes are malformed or contain a kind of message that this version does not support. */
+    /**
+     * Decodes a message; empty if the bytes are malformed or contain a kind of message that this version does not
+     * support.
+     */
     public static Optional<Message> decodeMessage(byte[] bytes) {
         Message message = new Message();
         if (!decode(bytes, message) || !message.isSet()) {
--- a/wire/src/main/java/org/quetzalshunt/wire/record/ShardRecords.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/record/ShardRecords.java
@@ -17,7 +17,10 @@
 import org.quetzalshunt.wire.generated.TurnEnded;
 import org.quetzalshunt.wire.message.MessageCodec;
 
-/** Encodes and decodes the records of the shard streams, in the Thrift compact protocol. A record without a required field is malformed. */
+/**
+ * Encodes and decodes the records of the shard streams, in the Thrift compact protocol. A record without a required
+ * field is malformed.
+ */
 public final class ShardRecords implements ShardRecordCodec {
     private ShardRecords() {}
 
@@ -113,8 +116,8 @@
         thrift.setRequestDigest(ended.requestDigest());
         thrift.setPreviousHash(ended.previousHash());
         thrift.setMessages(ended.messages());
-        // With an idempotency key the whole response is stored for repeated requests. Without a key only the answer is
-        // stored.
+        // A request with an idempotency key may be repeated, so that its whole response is stored. Otherwise the answer
+        // suffices.
         thrift.setAnswer(ended.answer());
         thrift.setStatus(ended.stored().status());
         thrift.setContentType(ended.stored().contentType());
--- a/wire/src/main/java/org/quetzalshunt/wire/record/StoredRecords.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/record/StoredRecords.java
@@ -13,7 +13,10 @@
 import org.quetzalshunt.wire.generated.StoredTurn;
 import org.quetzalshunt.wire.message.MessageCodec;
 
-/** Encodes and decodes the records of the shared map, in the Thrift compact protocol. Malformed bytes decode to an empty result. */
+/**
+ * Encodes and decodes the records of the shared map, in the Thrift compact protocol. Malformed bytes decode to an
+ * empty result.
+ */
 public final class StoredRecords {
     /**
      * Tokens of a program's budget that are allotted to a VM.
--- a/wire/src/test/java/org/quetzalshunt/wire/document/DocumentReaderTest.java
+++ b/wire/src/test/java/org/quetzalshunt/wire/document/DocumentReaderTest.java
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Guards against a reader that stops at the first error. An operator with several errors in one document would have to
-     * submit it once for each of them.
+     * Guards against a reader that stops at the first error. An operator with several errors in one document would
+     * have to submit it once for each of them.
      */
     @Test
     void allErrorsAreReportedTogetherWithTheirLines() {
--- a/wire/src/test/java/org/quetzalshunt/wire/record/ConfigurationRecordCodecTest.java
+++ b/wire/src/test/java/org/quetzalshunt/wire/record/ConfigurationRecordCodecTest.java
@@ -106,7 +106,9 @@
                 .isEmpty();
     }
 
-    /** Guards against a checkpoint that loses documents or needs many records, with 200 accounts in each of 7 services. */
+    /**
+     * Guards against a checkpoint that loses documents or needs many records, with 200 accounts in each of 7 services.
+     */
     @Test
     void largeConfigurationIsRestoredFromItsCheckpoint() {
         Configuration whole = Configuration.create(ConfigurationRecordCodec::decode);
