--- a/wire/src/main/thrift/quetzalshunt.thrift
+++ b/wire/src/main/thrift/quetzalshunt.thrift
@@ -2,8 +2,8 @@
  * Messages between the processes of one deployment, and the records of the log.
  * Generate with: thrift --gen java:generated_annotations=suppress,private-members -out wire/src/main/java wire/src/main/thrift/quetzalshunt.thrift
  *
- * Compatibility: a field is never renumbered or reused, new fields are optional,
- * an unknown member of a union is ignored by its reader.
+ * Compatibility: the number of a field is never changed or reused, new fields are optional,
+ * and a reader ignores unknown members of a union.
  */
 namespace java org.quetzalshunt.wire.generated
 
@@ -21,7 +21,7 @@
   1: binary proof
 }
 
-/** A caller's request, passed by the entry that took it to the entry that owns the program's shard. Never carries a key. */
+/** A client request, forwarded to the entry that owns the program's shard. Never contains an API key. */
 struct ForwardRequest {
   1: i64 exchange
   2: string requestId
@@ -81,7 +81,7 @@
   1: i64 attempt
 }
 
-/** Asks for an attempt's frames from a sequence number on, after a broken connection. */
+/** Requests the frames of an attempt from a sequence number on, after the connection was lost. */
 struct AttemptResume {
   1: i64 attempt
   2: i32 fromSequence
@@ -105,7 +105,7 @@
   3: i64 completionTokens
 }
 
-/** Last frame of an attempt. The count of chunks is the end mark by which a cut answer shows. */
+/** Last frame of an attempt. The number of chunks allows the receiver to detect a truncated answer. */
 struct AttemptEnd {
   1: i64 attempt
   2: i32 resultCode
@@ -145,7 +145,7 @@
   14: optional i64 configurationNext
 }
 
-/** One VM's word about itself, passed on by another. */
+/** The state of a VM as last reported by that VM itself, relayed in the heartbeat of another VM. */
 struct HeartbeatWord {
   1: string vm
   2: i64 incarnation
@@ -207,7 +207,7 @@
   3: i64 partsPerMillion
 }
 
-/** What a member carried over into a generation, told to one home. */
+/** The parts that a member carried over into a generation, reported to the home of their accounts. */
 struct LimitCarryReport {
   1: i64 generation
   2: list<LimitHolding> holdings
@@ -217,7 +217,7 @@
   1: i64 generation
 }
 
-/** Asks for the word that no newer generation is known. */
+/** Asks the receiver to confirm that it knows no newer generation. */
 struct LimitLeaseRequest {
   1: i64 generation
   2: i64 sentMillis
@@ -228,27 +228,27 @@
   2: i64 sentMillis
 }
 
-/** Extension point: a message whose payload a subsystem encodes itself. */
+/** Extension point: a message with a payload that is encoded by a subsystem. */
 struct Opaque {
   1: string kind
   2: binary payload
 }
 
-/** Asks for tokens of a client account's rate, of which the receiver holds a part. */
+/** Requests a token of a client account's rate limit, of which the receiver holds a share. */
 struct TokenRequest {
   1: i64 id
   2: string account
   3: i64 mostWaitMillis
 }
 
-/** Answer to a TokenRequest: how long the request must wait before it runs; negative when there is no token. */
+/** Answer to a TokenRequest: the time that the request must wait before it runs, negative if no token is granted. */
 struct TokenAnswer {
   1: i64 id
   2: i64 waitMillis
   3: optional i64 shortestMillis
 }
 
-/** A part of a prompt that the sender had an endpoint read. */
+/** A part of a prompt that an endpoint has processed for the sender and may have in its prefix cache. */
 struct PromptPlaced {
   1: string endpoint
   2: string part
@@ -256,33 +256,33 @@
 }
 
 /**
- * How many requests of the sender run at each endpoint; those without any are left out. The age is that of the
- * sender's proof that its configuration is current.
+ * Number of running requests of the sender at each endpoint, without the endpoints that run none. The proof age is the
+ * age of the sender's last proof that its configuration is current.
  */
 struct EndpointLoads {
   1: map<string, i32> running
   2: i64 proofAgeMillis
   3: optional map<string, double> failing
   4: optional list<PromptPlaced> placed
-  /** Prompt tokens that the sender sent to endpoints and that they have not read yet. */
+  /** Prompt tokens in requests of the sender that each endpoint has not processed yet. */
   5: optional map<string, i64> unread
 }
 
-/** Tells the VM that is the directory of a turn that the sender holds it, with all turns before it. */
+/** Registers the sender at a turn's directory VM as the holder of the turn and of all turns before it. */
 struct TurnLocation {
   1: string turn
 }
 
 /**
- * Asks for a turn with all turns before it, and for what the holder may still hand out of its program's budget. Sent to the
- * directory of the turn, which passes it on to the holder, or to the holder itself.
+ * Requests a turn with all turns before it, and the unused rest of the holder's allotment of the program's budget. Sent
+ * to the directory of the turn, which forwards it to the holder, or directly to the holder.
  */
 struct ChainRequest {
   1: i64 id
   2: string turn
   3: string account
   4: string program
-  /** Name of the VM that wants the answer. */
+  /** Name of the VM that the answer is sent to. */
   5: string requester
 }
 
@@ -291,19 +291,19 @@
   2: binary record
 }
 
-/** An answer to a ChainRequest, from the holder, or from the directory where it knows none. */
+/** Answer to a ChainRequest, from the holder, or from the directory if no holder is registered there. */
 struct ChainAnswer {
   1: i64 id
   2: string program
-  /** Oldest first; none where the turn is not held. */
+  /** Oldest first; empty if the sender does not hold the turn. */
   3: list<ChainTurn> turns
   /** Tokens of the program's budget that now belong to the requester. */
   4: i64 tokens
-  /** Time of day until which these count, in Unix milliseconds. */
+  /** Time at which these tokens expire, in Unix milliseconds. */
   5: i64 tokensExpireMillis
 }
 
-/** Tells that the budget of a program is exhausted, by the tokens that all VMs together were allotted of it. */
+/** Announces that the budget of a program is exhausted, with the total of the tokens that were allotted to all VMs. */
 struct BudgetExhausted {
   1: string program
   2: i64 allottedTokens
@@ -389,7 +389,7 @@
   19: binary stored
 }
 
-/** Reserves more for a program's next turn than its last record did; folded before that turn runs. */
+/** Raises the reservation for the next turn of a program. The record is applied before that turn runs. */
 struct ReservationRaised {
   1: i64 epoch
   2: string program
@@ -432,7 +432,7 @@
   4: i64 observedMillis
 }
 
-/** Spending of an attempt that ran and gave no turn. */
+/** Tokens that were consumed by an attempt which ran and did not produce a turn. */
 struct BudgetCharged {
   1: i64 epoch
   2: string program
@@ -509,7 +509,7 @@
   5: Opaque opaque
 }
 
-/** A turn that ended whole, under its id in the shared map. */
+/** A completed turn. Its id is its key in the shared map. */
 struct StoredTurn {
   1: string account
   2: list<string> ancestors
@@ -518,13 +518,13 @@
   5: i64 expiresMillis
 }
 
-/** Tokens of a program that a VM may hand out. */
+/** Tokens of a program's budget that are allotted to a VM. */
 struct StoredAllotment {
   1: i64 tokens
   2: i64 expiresMillis
 }
 
-/** A VM's announcement that it lives, which renews its lease on all quota shares that it holds. */
+/** Heartbeat of a VM, which renews its lease on all quota shares that it holds. */
 struct StoredHeartbeat {
   1: i64 incarnation
   2: i64 epoch
@@ -533,7 +533,7 @@
   5: bool stopping
 }
 
-/** The share of one account's quota that a VM holds for as long as its lease of that epoch is in force. */
+/** A VM's share of the quota of one account, valid as long as the VM's lease of that epoch is in force. */
 struct StoredQuotaShare {
   1: i64 incarnation
   2: i64 epoch
