--- a/app/src/main/java/org/quetzalshunt/app/Main.java
+++ b/app/src/main/java/org/quetzalshunt/app/Main.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** Entry point of the binary. */
+/** Main class of the binary: the command line with its subcommands. */
 @Command(
         name = "quetzalshunt",
         mixinStandardHelpOptions = true,
@@ -40,18 +40,18 @@
     /** Runs a subcommand; exits with its code. */
     public static void main(String[] arguments) {
         CommandLine line = new CommandLine(new Main());
-        line.setParameterExceptionHandler(Main::wrongArguments);
+        line.setParameterExceptionHandler(Main::reportInvalidArguments);
         System.exit(line.execute(arguments));
     }
 
-    /** A wrong flag or a missing setting is told with its number, like a wrong value. */
-    private static int wrongArguments(CommandLine.ParameterException problem, String[] arguments) {
-        PrintWriter error = problem.getCommandLine().getErr();
+    /** Reports invalid command-line arguments with a numbered result code, like invalid setting values. */
+    private static int reportInvalidArguments(CommandLine.ParameterException exception, String[] arguments) {
+        PrintWriter error = exception.getCommandLine().getErr();
         error.printf(
                 "%d %s: %s%n",
-                ResultCode.INVALID_SETTING.number(), ResultCode.INVALID_SETTING.meaning(), problem.getMessage());
+                ResultCode.INVALID_SETTING.number(), ResultCode.INVALID_SETTING.meaning(), exception.getMessage());
         error.printf(
-                "See: %s --help%n", problem.getCommandLine().getCommandSpec().qualifiedName());
+                "See: %s --help%n", exception.getCommandLine().getCommandSpec().qualifiedName());
         error.flush();
         return CommandLine.ExitCode.USAGE;
     }
--- a/app/src/main/java/org/quetzalshunt/app/RehearseCommand.java
+++ b/app/src/main/java/org/quetzalshunt/app/RehearseCommand.java
@@ -8,11 +8,11 @@
 import picocli.CommandLine.Command;
 
 /**
- * {@code quetzalshunt rehearse}: runs a gateway on loopback before stand-ins, sends it a few requests and exits. Run by
- * the build with the JVM's option to archive the classes that were loaded: a gateway that starts with the archive is
- * ready in about half the time (0.55 s instead of 1.0 s on a free core), which is what callers wait for after a crash.
+ * {@code quetzalshunt rehearse}: runs a gateway on loopback against stand-ins, sends it a few requests and exits. The
+ * build runs it with {@code -XX:ArchiveClassesAtExit} to create a class-data archive. With the archive, a gateway is
+ * ready in about half the time (0.55 s instead of 1.0 s on a free core), which shortens the outage after a crash.
  */
-@Command(name = "rehearse", hidden = true, description = "Runs a gateway on loopback for the class-data archive.")
+@Command(name = "rehearse", hidden = true, description = "Runs a gateway on loopback to create the class-data archive.")
 final class RehearseCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException, InterruptedException {
--- a/app/src/main/java/org/quetzalshunt/app/demo/DemoCaller.java
+++ b/app/src/main/java/org/quetzalshunt/app/demo/DemoCaller.java
@@ -36,12 +36,12 @@
     }
 
     /** Sends until there is an answer, or a refusal that is final. The last answer is given back. */
-    ApiClient.Answer send(String method, String path, String idempotencyKey, Map<String, String> extra, byte[] body) {
+    ApiClient.Response send(String method, String path, String idempotencyKey, Map<String, String> extra, byte[] body) {
         Map<String, String> headers = new HashMap<>(extra);
         headers.put("authorization", "Bearer " + key);
         headers.put("content-type", "application/json");
         headers.put("idempotency-key", idempotencyKey);
-        ApiClient.Answer answer = once(method, path, headers, body);
+        ApiClient.Response answer = once(method, path, headers, body);
         for (int tries = 1; tries < MAXIMUM_TRIES && isWorthAnother(answer); tries++) {
             tally.resent();
             ApiClient.pause(PAUSE_MILLIS);
@@ -50,17 +50,17 @@
         return answer;
     }
 
-    private ApiClient.Answer once(String method, String path, Map<String, String> headers, byte[] body) {
+    private ApiClient.Response once(String method, String path, Map<String, String> headers, byte[] body) {
         List<String> urls = entryUrls.get();
         String url = urls.get(Math.floorMod(next++, urls.size()));
-        ApiClient.Answer answer = client.send(method, url + path, headers, body);
+        ApiClient.Response answer = client.send(method, url + path, headers, body);
         if (answer.code() >= 0) {
             tally.refused(answer.code());
         }
         return answer;
     }
 
-    private static boolean isWorthAnother(ApiClient.Answer answer) {
+    private static boolean isWorthAnother(ApiClient.Response answer) {
         boolean refused = answer.status() == 0 || answer.code() >= 0;
         return refused && !FINAL_CODES.contains(answer.code());
     }
--- a/app/src/main/java/org/quetzalshunt/app/demo/DemoProgram.java
+++ b/app/src/main/java/org/quetzalshunt/app/demo/DemoProgram.java
@@ -60,7 +60,7 @@
         ObjectNode body = Json.object().put("budgetTokens", budget);
         parent.ifPresent(value -> body.put("parent", value));
         String key = "create-" + number + parent.map(value -> "-sub").orElse("");
-        ApiClient.Answer made = caller.send("POST", "/v1/programs", key, Map.of(), Json.bytes(body));
+        ApiClient.Response made = caller.send("POST", "/v1/programs", key, Map.of(), Json.bytes(body));
         return made.status() == 201 ? Optional.of(made.json().path("id").asText()) : Optional.empty();
     }
 
@@ -68,7 +68,7 @@
         ArrayNode history = Json.array();
         for (int turn = 1; turn <= count; turn++) {
             history.addObject().put("role", "user").put("content", "program " + number + " course " + turn);
-            ApiClient.Answer answer = turn(id, turn, history);
+            ApiClient.Response answer = turn(id, turn, history);
             if (answer.code() == ResultCode.BUDGET_EXHAUSTED.number()) {
                 return runsOutOfBudget();
             }
@@ -86,7 +86,7 @@
         return true;
     }
 
-    private ApiClient.Answer turn(String id, int turn, ArrayNode history) {
+    private ApiClient.Response turn(String id, int turn, ArrayNode history) {
         ObjectNode body = Json.object();
         body.put("model", Deployment.CHAT_SERVICE);
         body.put("max_tokens", MAXIMUM_TOKENS);
@@ -98,7 +98,7 @@
     }
 
     /** The stand-in's answer is a function of all messages, so a mixed, cut or wrong history shows. */
-    private void check(ApiClient.Answer answer, JsonNode message, int turn, ArrayNode history) {
+    private void check(ApiClient.Response answer, JsonNode message, int turn, ArrayNode history) {
         tally.turn();
         int bound = answer.json().path("usage").path("completion_tokens").asInt(0);
         String expected = StandinAnswer.to(history, runsOutOfBudget() ? bound : MAXIMUM_TOKENS)
@@ -121,7 +121,7 @@
 
     private boolean order() {
         ObjectNode body = Json.object().put("stones", 10 + number);
-        ApiClient.Answer answer = caller.send(
+        ApiClient.Response answer = caller.send(
                 "POST",
                 "/v1/services/" + Deployment.PLAIN_SERVICE + "/orders",
                 "order-" + number,
@@ -131,7 +131,7 @@
     }
 
     private void end(String id) {
-        ApiClient.Answer ended = caller.send("DELETE", "/v1/programs/" + id, "end-" + id, Map.of(), new byte[0]);
+        ApiClient.Response ended = caller.send("DELETE", "/v1/programs/" + id, "end-" + id, Map.of(), new byte[0]);
         JsonNode view = ended.json();
         if (view.path("spentTokens").asLong() > view.path("budgetTokens").asLong()) {
             tally.overBudget();
--- a/app/src/main/java/org/quetzalshunt/app/demo/DemoRun.java
+++ b/app/src/main/java/org/quetzalshunt/app/demo/DemoRun.java
@@ -59,7 +59,7 @@
 
     private void fail() {
         step("killing entry-1", () -> deployment.killEntry("entry-1"));
-        deployment.unlistVm("entry-1");
+        deployment.deregisterVm("entry-1");
         step("killing engine-0", () -> deployment.killEngine("engine-0"));
         step("draining endpoint engine-1", () -> deployment.drainEndpoint("engine-1"));
         step("withdrawing the key of karatu", () -> deployment.withdrawKey("karatu"));
@@ -82,7 +82,7 @@
                         "messages",
                         Json.array().add(Json.object().put("role", "user").put("content", "hello"))));
         for (String url : deployment.entryUrls()) {
-            ApiClient.Answer answer =
+            ApiClient.Response answer =
                     client.send("POST", url + "/v1/chat/completions", Map.of("authorization", "Bearer " + key), body);
             if (answer.status() == 200) {
                 tally.acceptedAfterWithdrawal();
--- a/app/src/main/java/org/quetzalshunt/app/deployment/ApiClient.java
+++ b/app/src/main/java/org/quetzalshunt/app/deployment/ApiClient.java
@@ -12,12 +12,12 @@
 import java.util.Optional;
 import org.quetzalshunt.wire.json.Json;
 
-/** A blocking HTTP client for drivers: one call, one answer. A call without an answer has status 0. */
+/** Blocking HTTP client of the demo and the tests. A call that gets no complete response yields status 0. */
 public final class ApiClient {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(40);
-    private static final long AWAIT_MILLIS = 20_000;
-    private static final long POLL_MILLIS = 50;
+    private static final long AWAIT_TIMEOUT_MILLIS = 20_000;
+    private static final long POLL_INTERVAL_MILLIS = 50;
 
     private final HttpClient http = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
@@ -26,84 +26,84 @@
 
     private ApiClient() {}
 
-    /** Makes a client. */
     public static ApiClient create() {
         return new ApiClient();
     }
 
     /**
-     * An answer.
+     * An HTTP response.
      *
-     * @param status HTTP status; 0 when none came whole
-     * @param headers headers
-     * @param body whole body
+     * @param status HTTP status, or 0 if no complete response was received
+     * @param headers response headers
+     * @param body complete response body
      */
-    public record Answer(int status, java.net.http.HttpHeaders headers, byte[] body) {
+    public record Response(int status, java.net.http.HttpHeaders headers, byte[] body) {
         /** Body as text. */
         public String text() {
             return new String(body, StandardCharsets.UTF_8);
         }
 
-        /** Body as JSON; an empty object when it is none. */
+        /** Body as JSON, or an empty object if the body is not valid JSON. */
         public JsonNode json() {
             return Json.parse(body).orElseGet(Json::object);
         }
 
-        /** Value of a header. */
+        /** First value of a header. */
         public Optional<String> header(String name) {
             return headers.firstValue(name);
         }
 
-        /** Numbered result code of an error body; -1 without one. */
+        /** Result code number of an error body, or -1 if the body has none. */
         public int code() {
             return json().path("error").path("code").asInt(-1);
         }
 
-        /** What an error body says of the run; empty without one. */
+        /** Execution status of an error body, such as {@code not run}; empty if the body has none. */
         public String execution() {
             return json().path("error").path("execution").asText("");
         }
     }
 
-    /** Sends a request and waits for its whole answer. */
-    public Answer send(String method, String url, Map<String, String> headers, byte[] body) {
+    /** Sends a request and waits for the complete response. */
+    public Response send(String method, String url, Map<String, String> headers, byte[] body) {
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create(url))
                 .timeout(CALL_TIMEOUT)
                 .method(method, HttpRequest.BodyPublishers.ofByteArray(body));
         headers.forEach(request::header);
         try {
             HttpResponse<byte[]> response = http.send(request.build(), HttpResponse.BodyHandlers.ofByteArray());
-            return new Answer(response.statusCode(), response.headers(), response.body());
-        } catch (IOException broken) {
-            return new Answer(0, java.net.http.HttpHeaders.of(Map.of(), (name, value) -> true), new byte[0]);
+            return new Response(response.statusCode(), response.headers(), response.body());
+        } catch (IOException failure) {
+            return new Response(0, java.net.http.HttpHeaders.of(Map.of(), (name, value) -> true), new byte[0]);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            return new Answer(0, java.net.http.HttpHeaders.of(Map.of(), (name, value) -> true), new byte[0]);
+            return new Response(0, java.net.http.HttpHeaders.of(Map.of(), (name, value) -> true), new byte[0]);
         }
     }
 
-    /** Waits until a URL answers with a status; fails after a bounded time. */
-    public void await(String url, int status) {
-        await(url, Map.of(), answer -> answer.status() == status);
+    /** Polls a URL until it responds with a status; throws {@link IllegalStateException} after 20 s. */
+    public void awaitStatus(String url, int status) {
+        awaitResponse(url, Map.of(), response -> response.status() == status);
     }
 
-    /** Waits until a URL's answer contains a text; fails after a bounded time. */
+    /** Polls a URL until its response contains a text; throws {@link IllegalStateException} after 20 s. */
     public void awaitText(String url, Map<String, String> headers, String text) {
-        await(url, headers, answer -> answer.text().contains(text));
+        awaitResponse(url, headers, response -> response.text().contains(text));
     }
 
-    private void await(String url, Map<String, String> headers, java.util.function.Predicate<Answer> wanted) {
-        long deadline = System.currentTimeMillis() + AWAIT_MILLIS;
+    private void awaitResponse(
+            String url, Map<String, String> headers, java.util.function.Predicate<Response> condition) {
+        long deadline = System.currentTimeMillis() + AWAIT_TIMEOUT_MILLIS;
         while (System.currentTimeMillis() < deadline) {
-            if (wanted.test(send("GET", url, headers, new byte[0]))) {
+            if (condition.test(send("GET", url, headers, new byte[0]))) {
                 return;
             }
-            pause(POLL_MILLIS);
+            pause(POLL_INTERVAL_MILLIS);
         }
-        throw new IllegalStateException("no answer as awaited from " + url);
+        throw new IllegalStateException("timed out waiting for the expected answer from " + url);
     }
 
-    /** Sleeps. */
+    /** Sleeps, or returns early with the interrupt flag set if the thread is interrupted. */
     public static void pause(long millis) {
         try {
             Thread.sleep(millis);
--- a/app/src/main/java/org/quetzalshunt/app/deployment/DemoDocuments.java
+++ b/app/src/main/java/org/quetzalshunt/app/deployment/DemoDocuments.java
@@ -2,27 +2,27 @@
 
 import java.util.List;
 
-/** Service documents of a deployment on loopback. */
+/** Builds the service documents (YAML) of a deployment on loopback. */
 final class DemoDocuments {
     private DemoDocuments() {}
 
-    static String chat(DeploymentPlan plan, DemoKeys keys) {
+    static String chatService(DeploymentPlan plan, DemoKeys keys) {
         return "service: " + Deployment.CHAT_SERVICE + "\nteam: " + DemoKeys.TEAM + "\nkind: engine\n"
-                + accounts(plan, keys)
+                + accountsSection(plan, keys)
                 + "limits: {requestDeadlineMillis: 30000, stallMillis: 3000, reservationTokens: 64}\n";
     }
 
-    static String plain(DeploymentPlan plan, DemoKeys keys) {
+    static String plainService(DeploymentPlan plan, DemoKeys keys) {
         return "service: " + Deployment.PLAIN_SERVICE + "\nteam: " + DemoKeys.TEAM + "\nkind: plain\n"
-                + accounts(plan, keys)
+                + accountsSection(plan, keys)
                 + "nonIdempotentCalls: [{method: POST, path: /orders}]\n"
                 + "limits: {requestDeadlineMillis: 30000, stallMillis: 3000}\n";
     }
 
-    private static String accounts(DeploymentPlan plan, DemoKeys keys) {
+    private static String accountsSection(DeploymentPlan plan, DemoKeys keys) {
         StringBuilder text = new StringBuilder("accounts:\n");
         for (String account : DemoKeys.ACCOUNTS) {
-            List<String> hashes = keys.hashes(account);
+            List<String> hashes = keys.activeKeyHashes(account);
             text.append("  - name: ").append(account).append('\n');
             text.append("    keyHashes: [").append(String.join(", ", hashes)).append("]\n");
             text.append("    requestsPerSecond: ")
--- a/app/src/main/java/org/quetzalshunt/app/deployment/DemoKeys.java
+++ b/app/src/main/java/org/quetzalshunt/app/deployment/DemoKeys.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Random keys of a deployment on loopback. */
+/** Random API keys of the callers and operators of a deployment on loopback. */
 public final class DemoKeys {
     /** Client accounts of the demo. */
     public static final List<String> ACCOUNTS = List.of("arusha", "moshi", "karatu");
@@ -24,22 +24,22 @@
 
     private final Map<String, String> callerKeys = new LinkedHashMap<>();
     private final Set<String> withdrawn = new TreeSet<>();
-    private final String operatorKey = random("qzo-");
+    private final String operatorKey = randomKey("qzo-");
 
     private DemoKeys() {
-        ACCOUNTS.forEach(account -> callerKeys.put(account, random("qzc-")));
+        ACCOUNTS.forEach(account -> callerKeys.put(account, randomKey("qzc-")));
     }
 
     static DemoKeys create() {
         return new DemoKeys();
     }
 
-    /** Key of an account's callers, withdrawn or not. */
+    /** Key of an account, whether or not it has been withdrawn. */
     public String callerKey(String account) {
         return callerKeys.get(account);
     }
 
-    /** Keys of callers by account. */
+    /** Keys by account, including withdrawn ones. */
     public Map<String, String> callerKeys() {
         return Map.copyOf(callerKeys);
     }
@@ -53,9 +53,9 @@
         withdrawn.add(account);
     }
 
-    /** Hashes in force of an account's keys. */
-    List<String> hashes(String account) {
-        return withdrawn.contains(account) ? List.of(hash(random("none-"))) : List.of(hash(callerKeys.get(account)));
+    /** Hashes of the account's valid keys; after a withdrawal, one random hash that matches no key. */
+    List<String> activeKeyHashes(String account) {
+        return withdrawn.contains(account) ? List.of(hash(randomKey("none-"))) : List.of(hash(callerKeys.get(account)));
     }
 
     Map<String, String> operatorTeams() {
@@ -71,7 +71,7 @@
         }
     }
 
-    private static String random(String prefix) {
+    private static String randomKey(String prefix) {
         byte[] bytes = new byte[KEY_BYTES];
         RANDOM.nextBytes(bytes);
         return prefix + HexFormat.of().formatHex(bytes);
--- a/app/src/main/java/org/quetzalshunt/app/deployment/Deployment.java
+++ b/app/src/main/java/org/quetzalshunt/app/deployment/Deployment.java
@@ -23,19 +23,22 @@
 import org.quetzalshunt.standin.service.ServiceStandin;
 import org.quetzalshunt.wire.json.Json;
 
-/** One running deployment. Its methods may be called from any thread but an event loop's. */
+/**
+ * A running deployment: the platform's stand-in, entries, and sidecars with their endpoints. Methods block, so they may
+ * be called from any thread except an event loop thread.
+ */
 public final class Deployment implements AutoCloseable {
-    /** Name of the engines' service. */
+    /** Name of the service that the model engines run. */
     public static final String CHAT_SERVICE = "tutor";
 
     /** Name of the plain service. */
     public static final String PLAIN_SERVICE = "walls";
 
     private static final String HOST = "127.0.0.1";
-    private static final byte[] SECRET = "loopback-demo-secret".getBytes(java.nio.charset.StandardCharsets.UTF_8);
-    private static final int SHARDS = 12;
-    private static final long COMMIT_MILLIS = 25;
-    private static final long STOP_MILLIS = 20_000;
+    private static final byte[] LINK_SECRET = "loopback-demo-secret".getBytes(java.nio.charset.StandardCharsets.UTF_8);
+    private static final int SHARD_COUNT = 12;
+    private static final long COMMIT_INTERVAL_MILLIS = 25;
+    private static final long STOP_TIMEOUT_MILLIS = 20_000;
 
     private final DeploymentPlan plan;
     private final EventLoopGroup standinGroup = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
@@ -51,10 +54,10 @@
 
     private Deployment(DeploymentPlan plan) {
         this.plan = plan;
-        this.platform = PlatformStandin.start(standinGroup, anyPort(), plan.platform());
+        this.platform = PlatformStandin.start(standinGroup, ephemeralPort(), plan.platform());
     }
 
-    /** Starts everything and puts the documents; returns once every entry is ready. */
+    /** Starts all processes and uploads the service documents. Returns once every entry is ready and serves them. */
     public static Deployment start(DeploymentPlan plan) {
         Deployment deployment = new Deployment(plan);
         for (int number = 0; number < plan.engines(); number++) {
@@ -76,7 +79,7 @@
         return plan.dataCentres().get(number % plan.dataCentres().size());
     }
 
-    /** Starts an entry and lists it; one of the same name as before is a new incarnation. */
+    /** Starts an entry and adds it to the platform's list of VMs. Reusing a name starts a new incarnation. */
     public void addEntry(String name, String dataCentre) {
         EntrySettings settings = new EntrySettings(
                 name,
@@ -86,26 +89,26 @@
                 0,
                 0,
                 platformAddress(),
-                SECRET.clone(),
-                SHARDS,
-                COMMIT_MILLIS,
+                LINK_SECRET.clone(),
+                SHARD_COUNT,
+                COMMIT_INTERVAL_MILLIS,
                 keys.operatorTeams(),
-                STOP_MILLIS);
+                STOP_TIMEOUT_MILLIS);
         EntryProcess entry = EntryProcess.start(settings);
         entries.put(name, entry);
-        listVm(name, "entry", entry.linkPort(), dataCentre, "");
+        registerVm(name, "entry", entry.linkPort(), dataCentre, "");
     }
 
-    /** Starts an engine with its sidecar and lists the sidecar. */
+    /** Starts an engine with its sidecar and adds the sidecar to the platform's list of VMs. */
     public void addEngine(String name, String dataCentre) {
-        EngineStandin engine = EngineStandin.start(standinGroup, anyPort(), plan.engine());
+        EngineStandin engine = EngineStandin.start(standinGroup, ephemeralPort(), plan.engine());
         engines.put(name, engine);
         addSidecar(name, dataCentre, CHAT_SERVICE, ServiceKind.ENGINE, engine.port());
     }
 
-    /** Starts a plain service with its sidecar and lists the sidecar. */
+    /** Starts a plain service with its sidecar and adds the sidecar to the platform's list of VMs. */
     public void addPlainService(String name, String dataCentre) {
-        ServiceStandin service = ServiceStandin.start(standinGroup, anyPort(), plan.service());
+        ServiceStandin service = ServiceStandin.start(standinGroup, ephemeralPort(), plan.service());
         services.put(name, service);
         addSidecar(name, dataCentre, PLAIN_SERVICE, ServiceKind.PLAIN, service.port());
     }
@@ -123,12 +126,12 @@
                 kind,
                 endpoint,
                 Optional.of(platformAddress()),
-                SECRET.clone()));
+                LINK_SECRET.clone()));
         sidecars.put(name, sidecar);
-        listVm(name, "sidecar", sidecar.linkPort(), dataCentre, service);
+        registerVm(name, "sidecar", sidecar.linkPort(), dataCentre, service);
     }
 
-    private void listVm(String name, String role, int port, String dataCentre, String service) {
+    private void registerVm(String name, String role, int port, String dataCentre, String service) {
         byte[] body = Json.bytes(Json.object()
                 .put("name", name)
                 .put("role", role)
@@ -140,34 +143,35 @@
         client.send("PUT", platformUrl() + "/standin/vms/" + name, Map.of(), body);
     }
 
-    /** Takes a VM off the platform's list. */
-    public void unlistVm(String name) {
+    /** Removes a VM from the platform's list of VMs. */
+    public void deregisterVm(String name) {
         client.send("DELETE", platformUrl() + "/standin/vms/" + name, Map.of(), new byte[0]);
     }
 
     private void awaitReady() {
         for (String url : entryUrls()) {
-            client.await(url + "/readyz", 200);
+            client.awaitStatus(url + "/readyz", 200);
         }
     }
 
     private void putDocuments() {
-        putDocument(CHAT_SERVICE, DemoDocuments.chat(plan, keys));
-        putDocument(PLAIN_SERVICE, DemoDocuments.plain(plan, keys));
+        putDocument(CHAT_SERVICE, DemoDocuments.chatService(plan, keys));
+        putDocument(PLAIN_SERVICE, DemoDocuments.plainService(plan, keys));
     }
 
-    /** Puts a document in place of the version in force. */
+    /** Uploads a service document, replacing the current version if there is one. */
     public void putDocument(String service, String text) {
         String url = entryUrls().get(0) + "/admin/v1/services/" + service;
         Map<String, String> authorization = Map.of("authorization", "Bearer " + keys.operatorKey());
-        ApiClient.Answer current = client.send("GET", url, authorization, new byte[0]);
+        ApiClient.Response current = client.send("GET", url, authorization, new byte[0]);
         Map<String, String> headers = new LinkedHashMap<>(authorization);
         if (current.status() == 200) {
             headers.put("if-match", current.header("etag").orElseThrow());
         }
-        ApiClient.Answer put = client.send("PUT", url, headers, text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+        ApiClient.Response put =
+                client.send("PUT", url, headers, text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
         if (put.status() != 200) {
-            throw new IllegalStateException("document refused: " + put.text());
+            throw new IllegalStateException("service document rejected: " + put.text());
         }
     }
 
@@ -178,27 +182,27 @@
         }
     }
 
-    /** Ends an entry as a crash would. */
+    /** Kills an entry without a graceful shutdown, to simulate a crash. */
     public void killEntry(String name) {
         entries.remove(name).kill();
     }
 
-    /** Stops an entry in the planned way. */
+    /** Shuts an entry down gracefully. */
     public CompletableFuture<Void> stopEntry(String name) {
         return entries.remove(name).stop();
     }
 
-    /** Ends an engine as a crash would; its sidecar stays. */
+    /** Kills an engine to simulate a crash. Its sidecar keeps running. */
     public void killEngine(String name) {
         engines.remove(name).close();
     }
 
-    /** Stops a sidecar in the planned way: its endpoint leaves. */
+    /** Shuts a sidecar down gracefully, which takes its endpoint out of service. */
     public CompletableFuture<Void> drainEndpoint(String name) {
         return sidecars.remove(name).stop();
     }
 
-    /** Withdraws an account's key at both services. */
+    /** Withdraws an account's key by updating the documents of both services. */
     public void withdrawKey(String account) {
         keys.withdraw(account);
         putDocuments();
@@ -209,12 +213,12 @@
         return keys;
     }
 
-    /** Names of the entries that run. */
+    /** Names of the running entries. */
     public List<String> entryNames() {
         return new ArrayList<>(entries.keySet());
     }
 
-    /** Base URLs of the entries that run. */
+    /** Base URLs of the running entries. */
     public List<String> entryUrls() {
         return entries.values().stream()
                 .map(entry -> "http://" + HOST + ":" + entry.httpPort())
@@ -254,11 +258,11 @@
         return "http://" + HOST + ":" + platform.port();
     }
 
-    private static InetSocketAddress anyPort() {
+    private static InetSocketAddress ephemeralPort() {
         return new InetSocketAddress(HOST, 0);
     }
 
-    /** Ends everything at once. */
+    /** Kills all processes and stand-ins without a graceful shutdown. */
     @Override
     public void close() {
         entries.values().forEach(EntryProcess::kill);
--- a/app/src/main/java/org/quetzalshunt/app/deployment/DeploymentPlan.java
+++ b/app/src/main/java/org/quetzalshunt/app/deployment/DeploymentPlan.java
@@ -6,17 +6,17 @@
 import org.quetzalshunt.standin.service.ServiceSettings;
 
 /**
- * What to start.
+ * Number, placement and settings of the processes that a {@link Deployment} starts.
  *
  * @param entries number of entries
  * @param engines number of model engines, each with its sidecar
  * @param plainServices number of plain services, each with its sidecar
- * @param dataCentres names over which VMs are spread in turn
+ * @param dataCentres data centres to which VMs are assigned round-robin
  * @param platform settings of the platform's stand-in
  * @param engine settings of each engine's stand-in
  * @param service settings of each plain service's stand-in
- * @param requestsPerSecond rate of each client account
- * @param burst burst of each client account
+ * @param requestsPerSecond request rate limit of each client account
+ * @param burst burst size of each client account's rate limit
  */
 public record DeploymentPlan(
         int entries,
@@ -43,25 +43,25 @@
                 400);
     }
 
-    /** The same with other numbers of VMs. */
+    /** Returns a copy with other numbers of VMs. */
     public DeploymentPlan withVms(int entryCount, int engineCount, int plainCount) {
         return new DeploymentPlan(
                 entryCount, engineCount, plainCount, dataCentres, platform, engine, service, requestsPerSecond, burst);
     }
 
-    /** The same with other engines. */
+    /** Returns a copy with other settings of the engines' stand-ins. */
     public DeploymentPlan withEngine(EngineSettings value) {
         return new DeploymentPlan(
                 entries, engines, plainServices, dataCentres, platform, value, service, requestsPerSecond, burst);
     }
 
-    /** The same with another platform. */
+    /** Returns a copy with other settings of the platform's stand-in. */
     public DeploymentPlan withPlatform(PlatformSettings value) {
         return new DeploymentPlan(
                 entries, engines, plainServices, dataCentres, value, engine, service, requestsPerSecond, burst);
     }
 
-    /** The same with another rate and burst of each account. */
+    /** Returns a copy with another rate limit and burst size of each account. */
     public DeploymentPlan withRate(double newRequestsPerSecond, double newBurst) {
         return new DeploymentPlan(
                 entries,
--- a/app/src/main/java/org/quetzalshunt/app/deployment/package-info.java
+++ b/app/src/main/java/org/quetzalshunt/app/deployment/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A whole deployment in one process on loopback: stand-ins, entries and sidecars, each with its own event loop and its
- * own ports, joined by nothing but TCP. For the demo, for tests and for measurements.
+ * Runs a whole deployment in one process on loopback, for the demo, tests and measurements. Each entry and sidecar has
+ * its own event loop, and the stand-ins share an event loop group. All of them have their own ports and communicate
+ * over TCP only.
  */
 package org.quetzalshunt.app.deployment;
--- a/app/src/main/java/org/quetzalshunt/app/package-info.java
+++ b/app/src/main/java/org/quetzalshunt/app/package-info.java
@@ -1,2 +1,2 @@
-/** The one binary: its command line, the demo, and the load and measurement tools. */
+/** The command line of the binary, with the demo and the load, log analysis and measurement tools. */
 package org.quetzalshunt.app;
--- a/app/src/test/java/org/quetzalshunt/app/DocumentationTest.java
+++ b/app/src/test/java/org/quetzalshunt/app/DocumentationTest.java
@@ -14,19 +14,19 @@
 import org.quetzalshunt.wire.document.DocumentReader;
 import org.quetzalshunt.wire.document.DocumentReading;
 
-/** The tables of the docs say what the code does. */
+/** Checks that the documented result codes and the example service documents match the code. */
 final class DocumentationTest {
     private static final Path ROOT = Path.of("..");
 
     @ParameterizedTest
     @EnumSource(ResultCode.class)
-    void codeIsInTheTable(ResultCode code) throws IOException {
+    void everyResultCodeIsDocumented(ResultCode code) throws IOException {
         String row = "| " + code.number() + " | " + code.name() + " | " + code.status() + " | " + code.meaning() + " |";
         assertThat(Files.readString(ROOT.resolve("docs/CODES.md"))).contains(row);
     }
 
     @Test
-    void tableHasNoOtherCodes() throws IOException {
+    void tableListsNoUndefinedCodes() throws IOException {
         List<String> rows = Files.readAllLines(ROOT.resolve("docs/CODES.md")).stream()
                 .filter(line -> line.matches("\\| \\d+ \\|.*"))
                 .toList();
@@ -36,7 +36,7 @@
     @ParameterizedTest
     @ValueSource(
             strings = {"kite-readers-app.yaml", "kite-readers-llm.yaml", "mawe-kavu-app.yaml", "mawe-kavu-tutor.yaml"})
-    void exampleIsValid(String name) throws IOException {
+    void exampleDocumentIsValid(String name) throws IOException {
         DocumentReading reading =
                 DocumentReader.read(Files.readString(ROOT.resolve("examples").resolve(name)));
         assertThat(reading).isInstanceOf(DocumentReading.Valid.class);
--- a/app/src/test/java/org/quetzalshunt/app/deployment/WholePathTest.java
+++ b/app/src/test/java/org/quetzalshunt/app/deployment/WholePathTest.java
@@ -18,38 +18,38 @@
 import org.quetzalshunt.standin.engine.StandinAnswer;
 import org.quetzalshunt.wire.json.Json;
 
-/** The whole path over real sockets: callers, entries, sidecars, stand-ins. */
+/** Sends requests over real sockets through entries and sidecars to stand-ins. */
 final class WholePathTest {
     private final ApiClient client = ApiClient.create();
 
-    private static DeploymentPlan quick() {
+    private static DeploymentPlan quickPlan() {
         return DeploymentPlan.demo().withEngine(EngineSettings.defaults().withBatch(BatchSettings.quick()));
     }
 
-    private ApiClient.Answer post(
-            Deployment deployment, String url, String path, Map<String, String> extra, byte[] body) {
-        Map<String, String> headers = new HashMap<>(extra);
+    private ApiClient.Response post(
+            Deployment deployment, String url, String path, Map<String, String> extraHeaders, byte[] body) {
+        Map<String, String> headers = new HashMap<>(extraHeaders);
         headers.put("authorization", "Bearer " + deployment.keys().callerKey("arusha"));
         headers.put("content-type", "application/json");
         return client.send("POST", url + path, headers, body);
     }
 
     /**
-     * Sends again while the answer is that the account is over its rate, as a caller does on 429: the parts that the
-     * killed entries held are out of use until their leases have ended.
+     * Retries while the account is over its rate limit, as a caller does on status 429. The quota shares of killed
+     * entries stay unavailable until their leases expire.
      */
-    private ApiClient.Answer postWithinRate(
-            Deployment deployment, String url, String path, Map<String, String> extra, byte[] body) {
-        ApiClient.Answer answer = post(deployment, url, path, extra, body);
-        for (int tries = 0; tries < 60 && answer.code() == ResultCode.RATE_EXCEEDED.number(); tries++) {
-            assertThat(answer.execution()).isEqualTo("not run");
+    private ApiClient.Response postWithRateRetries(
+            Deployment deployment, String url, String path, Map<String, String> extraHeaders, byte[] body) {
+        ApiClient.Response response = post(deployment, url, path, extraHeaders, body);
+        for (int attempt = 0; attempt < 60 && response.code() == ResultCode.RATE_EXCEEDED.number(); attempt++) {
+            assertThat(response.execution()).isEqualTo("not run");
             ApiClient.pause(250);
-            answer = post(deployment, url, path, extra, body);
+            response = post(deployment, url, path, extraHeaders, body);
         }
-        return answer;
+        return response;
     }
 
-    private static byte[] chat(ArrayNode messages, boolean stream) {
+    private static byte[] chatBody(ArrayNode messages, boolean stream) {
         ObjectNode body = Json.object();
         body.put("model", Deployment.CHAT_SERVICE);
         body.put("stream", stream);
@@ -57,51 +57,50 @@
         return Json.bytes(body);
     }
 
-    private static ArrayNode user(String text) {
+    private static ArrayNode userMessages(String text) {
         ArrayNode messages = Json.array();
         messages.addObject().put("role", "user").put("content", text);
         return messages;
     }
 
     /**
-     * A village class asks its tutor a question, the entry that answered dies, and the class asks the next one over
-     * another entry. The program must go on with its whole history. Without takeover the second question would find no
-     * program, or one without its first turn.
+     * Guards against a program that is lost, or that loses its first turn, when entries crash between two turns. The
+     * second turn is sent to another entry, which must take over the program with its whole history.
      */
     @Test
-    void programSurvivesItsEntry() {
-        try (Deployment deployment = Deployment.start(quick().withVms(3, 2, 0))) {
+    void programKeepsItsHistoryWhenItsEntryCrashes() {
+        try (Deployment deployment = Deployment.start(quickPlan().withVms(3, 2, 0))) {
             List<String> urls = deployment.entryUrls();
-            ApiClient.Answer made = post(
+            ApiClient.Response created = post(
                     deployment,
                     urls.get(0),
                     "/v1/programs",
                     Map.of(),
                     Json.bytes(Json.object().put("budgetTokens", 5_000)));
-            assertThat(made.status()).isEqualTo(201);
-            String program = made.json().path("id").asText();
-            ArrayNode history = user("which stone goes first");
+            assertThat(created.status()).isEqualTo(201);
+            String program = created.json().path("id").asText();
+            ArrayNode history = userMessages("which stone goes first");
             Map<String, String> headers = Map.of("quetzalshunt-program", program);
-            ApiClient.Answer first =
-                    post(deployment, urls.get(0), "/v1/chat/completions", headers, chat(history, false));
+            ApiClient.Response first =
+                    post(deployment, urls.get(0), "/v1/chat/completions", headers, chatBody(history, false));
             assertWithMessage(first.text()).that(first.status()).isEqualTo(200);
-            JsonNode answer = first.json().path("choices").path(0).path("message");
-            assertThat(answer.path("content").asText())
+            JsonNode firstMessage = first.json().path("choices").path(0).path("message");
+            assertThat(firstMessage.path("content").asText())
                     .isEqualTo(StandinAnswer.to(history).text());
 
             for (String name : List.of("entry-0", "entry-1")) {
                 deployment.killEntry(name);
-                deployment.unlistVm(name);
+                deployment.deregisterVm(name);
             }
 
-            history.add(answer);
+            history.add(firstMessage);
             history.addObject().put("role", "user").put("content", "and the second");
-            ApiClient.Answer second = postWithinRate(
+            ApiClient.Response second = postWithRateRetries(
                     deployment,
                     deployment.entryUrls().get(0),
                     "/v1/chat/completions",
                     headers,
-                    chat(user("and the second"), false));
+                    chatBody(userMessages("and the second"), false));
             assertThat(second.text()).contains("choices");
             assertThat(second.json()
                             .path("choices")
@@ -115,17 +114,17 @@
     }
 
     /**
-     * A librarian posts an issue record, the phone loses the answer, and the librarian's program sends it again over
-     * another entry. The record must be posted once and both must hear the same.
+     * Guards against a call that runs twice when a caller sends it again to another entry under the same idempotency
+     * key. Both responses must be equal.
      */
     @Test
-    void resentCallRunsOnce() {
-        try (Deployment deployment = Deployment.start(quick().withVms(3, 0, 2))) {
+    void callResentToAnotherEntryRunsOnce() {
+        try (Deployment deployment = Deployment.start(quickPlan().withVms(3, 0, 2))) {
             List<String> urls = deployment.entryUrls();
             Map<String, String> headers = Map.of("idempotency-key", "order-17");
             byte[] body = Json.bytes(Json.object().put("stones", 40));
-            ApiClient.Answer first = post(deployment, urls.get(0), "/v1/services/walls/orders", headers, body);
-            ApiClient.Answer again = post(deployment, urls.get(2), "/v1/services/walls/orders", headers, body);
+            ApiClient.Response first = post(deployment, urls.get(0), "/v1/services/walls/orders", headers, body);
+            ApiClient.Response again = post(deployment, urls.get(2), "/v1/services/walls/orders", headers, body);
             assertWithMessage(first.text()).that(first.status()).isEqualTo(200);
             assertThat(again.text()).isEqualTo(first.text());
             long runs = deployment.standinUrls().entrySet().stream()
@@ -140,17 +139,17 @@
     }
 
     /**
-     * The log service is down for some seconds in the middle of a lesson, just when an operator withdraws a key. The
-     * class's questions are taken and answered; the end of an answer waits until its record is kept. An entry that counts
-     * as not ready while it does not know what became of its append would refuse them all.
+     * Guards against an entry that counts as not ready, and so refuses every request, while the outcome of its append
+     * to the log is unknown. The log service is down for 5 s and a key is withdrawn during the outage. Requests must
+     * still be accepted and answered; the end of an answer is delayed until its record is stored.
      */
     @Test
     @Tag("known-red")
     void anOutageOfTheLogRefusesNobody() {
-        try (Deployment deployment = Deployment.start(quick().withVms(2, 1, 0))) {
+        try (Deployment deployment = Deployment.start(quickPlan().withVms(2, 1, 0))) {
             String url = deployment.entryUrls().get(0);
-            ArrayNode messages = user("before the outage");
-            assertThat(post(deployment, url, "/v1/chat/completions", Map.of(), chat(messages, false))
+            ArrayNode messages = userMessages("before the outage");
+            assertThat(post(deployment, url, "/v1/chat/completions", Map.of(), chatBody(messages, false))
                             .status())
                     .isEqualTo(200);
             String platform = deployment.standinUrls().get("platform");
@@ -160,22 +159,30 @@
             CompletableFuture<Void> withdrawn = CompletableFuture.runAsync(() -> deployment.withdrawKey("karatu"));
             ApiClient.pause(3_000);
             for (String entry : deployment.entryUrls()) {
-                ApiClient.Answer answer =
-                        post(deployment, entry, "/v1/chat/completions", Map.of(), chat(user("during it"), false));
-                assertWithMessage(answer.text()).that(answer.status()).isEqualTo(200);
+                ApiClient.Response response = post(
+                        deployment,
+                        entry,
+                        "/v1/chat/completions",
+                        Map.of(),
+                        chatBody(userMessages("during it"), false));
+                assertWithMessage(response.text()).that(response.status()).isEqualTo(200);
             }
             withdrawn.join();
         }
     }
 
     @Test
-    void ordinaryClientStreamsWithKeyAlone() {
-        try (Deployment deployment = Deployment.start(quick().withVms(1, 1, 0))) {
-            ArrayNode messages = user("how deep is the footing");
-            ApiClient.Answer answer = post(
-                    deployment, deployment.entryUrls().get(0), "/v1/chat/completions", Map.of(), chat(messages, true));
+    void clientWithoutProgramHeadersReceivesWholeStream() {
+        try (Deployment deployment = Deployment.start(quickPlan().withVms(1, 1, 0))) {
+            ArrayNode messages = userMessages("how deep is the footing");
+            ApiClient.Response response = post(
+                    deployment,
+                    deployment.entryUrls().get(0),
+                    "/v1/chat/completions",
+                    Map.of(),
+                    chatBody(messages, true));
             StringBuilder text = new StringBuilder();
-            for (String line : answer.text().split("\n")) {
+            for (String line : response.text().split("\n")) {
                 if (line.startsWith("data: {")) {
                     JsonNode chunk = Json.parse(line.substring(6).getBytes(java.nio.charset.StandardCharsets.UTF_8))
                             .orElseThrow();
@@ -187,7 +194,7 @@
                 }
             }
             assertThat(text.toString()).isEqualTo(StandinAnswer.to(messages).text());
-            assertThat(answer.text()).endsWith("data: [DONE]\n\n");
+            assertThat(response.text()).endsWith("data: [DONE]\n\n");
         }
     }
 }
