--- a/app/src/main/java/org/quetzalshunt/app/explain/ExplainCommand.java
+++ b/app/src/main/java/org/quetzalshunt/app/explain/ExplainCommand.java
@@ -17,15 +17,15 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code quetzalshunt explain}: from the gateways' logs to the cause of a failure, or to where work was lost. */
+/** {@code quetzalshunt explain}: finds the cause of a failure, or statistics of lost work, in the gateways' logs. */
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
         description =
-                "Tells from gateways' logs what became of a request or program, or with --losses where work was lost.")
+                "Explains the outcome of a request or program from gateway logs, or with --losses where work was lost.")
 public final class ExplainCommand implements Callable<Integer> {
-    private static final int DONE = 0;
-    private static final int NOT_FOUND = 1;
+    private static final int EXIT_SUCCESS = 0;
+    private static final int EXIT_FAILURE = 1;
 
     @Spec
     private CommandSpec spec;
@@ -33,86 +33,95 @@
     @Parameters(arity = "0..1", paramLabel = "ID", description = "id of a request or of a program")
     private String id;
 
-    @Option(names = "--losses", description = "tables of late, refused and failed work instead of one request")
+    @Option(
+            names = "--losses",
+            description = "print tables of late, refused and failed work instead of explaining one request")
     private boolean losses;
 
-    @Option(names = "--logs", required = true, arity = "1..*", paramLabel = "FILE", description = "logs, plain or gzip")
+    @Option(
+            names = "--logs",
+            required = true,
+            arity = "1..*",
+            paramLabel = "FILE",
+            description = "log files, plain or gzip")
     private List<Path> logs;
 
-    @Option(names = "--json", description = "one JSON object")
+    @Option(names = "--json", description = "print one JSON object")
     private boolean json;
 
-    @Option(names = "--progress", description = "tells on standard error which file is read")
+    @Option(names = "--progress", description = "print the name of each file on standard error before reading it")
     private boolean progress;
 
-    /** Made by picocli. */
+    /** Instantiated by picocli. */
     public ExplainCommand() {}
 
     @Override
     public Integer call() {
         if (losses == (id != null)) {
-            throw new ParameterException(spec.commandLine(), "either an ID or --losses is needed");
+            throw new ParameterException(spec.commandLine(), "exactly one of ID and --losses is required");
         }
         PrintWriter out = spec.commandLine().getOut();
-        LogFiles files = new LogFiles(logs, this::progress);
+        LogFiles files = new LogFiles(logs, this::printProgress);
         try {
-            int exit = losses ? losses(files, out) : story(files, out);
-            noteBroken(files);
+            int exit = losses ? printLosses(files, out) : explain(files, out);
+            reportUndecodableLines(files);
             return exit;
-        } catch (IOException unreadable) {
-            error(ResultCode.COMMAND_FAILED, unreadable.toString());
-            return NOT_FOUND;
+        } catch (IOException exception) {
+            printError(ResultCode.COMMAND_FAILED, exception.toString());
+            return EXIT_FAILURE;
         }
     }
 
-    private void progress(Path file) {
+    private void printProgress(Path file) {
         if (progress) {
             spec.commandLine().getErr().println("reading " + file);
         }
     }
 
-    private void noteBroken(LogFiles files) {
-        if (files.broken() > 0) {
-            spec.commandLine().getErr().printf("%d of %d lines could not be decoded%n", files.broken(), files.lines());
+    private void reportUndecodableLines(LogFiles files) {
+        if (files.undecodableLines() > 0) {
+            spec.commandLine()
+                    .getErr()
+                    .printf("%d of %d lines could not be decoded%n", files.undecodableLines(), files.linesRead());
         }
     }
 
-    private int losses(LogFiles files, PrintWriter out) throws IOException {
+    private int printLosses(LogFiles files, PrintWriter out) throws IOException {
         LossReport report = LossReport.read(files);
         if (json) {
             out.println(report.json());
         } else {
             report.print(out);
         }
-        return DONE;
+        return EXIT_SUCCESS;
     }
 
-    private int story(LogFiles files, PrintWriter out) throws IOException {
-        Optional<RequestStory> story = RequestStory.read(id, files);
-        if (story.isEmpty()) {
-            error(ResultCode.COMMAND_FAILED, "no log line has the id " + id);
-            return NOT_FOUND;
+    private int explain(LogFiles files, PrintWriter out) throws IOException {
+        Optional<RequestReport> report = RequestReport.read(id, files);
+        if (report.isEmpty()) {
+            printError(ResultCode.COMMAND_FAILED, "no log line has the id " + id);
+            return EXIT_FAILURE;
         }
         if (json) {
-            out.println(json(story.get()));
+            out.println(json(report.get()));
         } else {
-            story.get().print(out);
+            report.get().print(out);
         }
-        return DONE;
+        return EXIT_SUCCESS;
     }
 
-    private static ObjectNode json(RequestStory story) {
+    private static ObjectNode json(RequestReport report) {
         ObjectNode root = Json.object()
-                .put("request", story.asked().text("request"))
-                .put("cause", FailureCause.sentence(story.asked()));
+                .put("request", report.explained().text("request"))
+                .put("cause", FailureCause.sentence(report.explained()));
         ArrayNode requests = root.putArray("requests");
-        story.requests().forEach(line -> requests.add(line.fields()));
-        ArrayNode beliefs = root.putArray("beliefs");
-        story.beliefs().forEach(line -> beliefs.add(line.fields()));
+        report.requests().forEach(line -> requests.add(line.fields()));
+        ArrayNode gatewayEvents = root.putArray("beliefs");
+        report.gatewayEvents().forEach(line -> gatewayEvents.add(line.fields()));
         return root;
     }
 
-    private void error(ResultCode code, String message) {
+    private void printError(ResultCode code, String message) {
         spec.commandLine().getErr().printf("%d %s: %s%n", code.number(), code.meaning(), message);
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/explain/FailureCause.java
+++ b/app/src/main/java/org/quetzalshunt/app/explain/FailureCause.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import org.quetzalshunt.core.result.ResultCode;
 
-/** Says in one sentence why a request ended as it did. */
+/** Derives from a request's log line why the request ended as it did. */
 final class FailureCause {
-    private static final Map<ResultCode, String> BY_CODE = Map.ofEntries(
+    private static final Map<ResultCode, String> CAUSES_BY_CODE = Map.ofEntries(
             Map.entry(
                     ResultCode.RATE_EXCEEDED,
                     "its client account had no token of its quota left in the time it may wait"),
@@ -26,12 +26,12 @@
             Map.entry(ResultCode.CONFIGURATION_STALE, "its gateway could not prove that keys are still valid"),
             Map.entry(ResultCode.NOT_READY, "its gateway had no configuration yet, or no owner of the quota answered"));
 
-    /** The step that took longest is named where it took at least this part of the whole. */
-    private static final double TELLING_PART = 0.4;
+    /** Share of the time to the first event that a step must take to be named as the cause of a late answer. */
+    private static final double DOMINANT_STEP_SHARE = 0.4;
 
     private FailureCause() {}
 
-    /** The reason that requests are counted under: the code's name, or the step that made a served request late. */
+    /** Label under which requests are counted: the name of the code, or the slowest step of a late request. */
     static String reason(LogLine line) {
         ResultCode code = line.code();
         if (code != ResultCode.OK) {
@@ -40,24 +40,24 @@
         return isLate(line) ? "late: " + slowestStep(line) : "served in time";
     }
 
-    /** Whether a served request began its answer after its route's target. */
+    /** Whether the answer to a served request began later than its route's latency target. */
     static boolean isLate(LogLine line) {
         long first = line.number("firstEventAfterMillis")
                 .orElse(line.number("tookMillis").orElse(0));
         return first > line.number("targetMillis").orElse(Long.MAX_VALUE);
     }
 
-    /** One sentence. */
+    /** One sentence for the report on a request. */
     static String sentence(LogLine line) {
         ResultCode code = line.code();
         String detail = line.text("detail").isEmpty() ? "" : " (" + line.text("detail") + ")";
         if (code != ResultCode.OK) {
-            return "Not served: " + BY_CODE.getOrDefault(code, code.meaning()) + detail + ".";
+            return "Not served: " + CAUSES_BY_CODE.getOrDefault(code, code.meaning()) + detail + ".";
         }
         return isLate(line) ? "Served late, most of the time for " + slowestStep(line) + "." : "Served in time.";
     }
 
-    /** The step before the first event that took longest, or "several steps" where none stands out. */
+    /** The step before the first event that took longest, or "several steps" if none dominates. */
     static String slowestStep(LogLine line) {
         long token = line.number("tokenAfterMillis").orElse(0);
         long sent = line.number("sentAfterMillis").orElse(token);
@@ -72,6 +72,6 @@
                 "the endpoint until its first event", Math.max(0, first - sent));
         Map.Entry<String, Long> slowest =
                 steps.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow();
-        return slowest.getValue() >= TELLING_PART * Math.max(1, first) ? slowest.getKey() : "several steps";
+        return slowest.getValue() >= DOMINANT_STEP_SHARE * Math.max(1, first) ? slowest.getKey() : "several steps";
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/explain/LogFiles.java
+++ b/app/src/main/java/org/quetzalshunt/app/explain/LogFiles.java
@@ -13,51 +13,49 @@
 import java.util.function.Predicate;
 import java.util.zip.GZIPInputStream;
 
-/** Reads plain and gzip logs line by line; a line that is too long or cannot be decoded is counted and left out. */
+/** Reads plain and gzip logs line by line. Lines that are too long or cannot be decoded are counted and skipped. */
 final class LogFiles {
     private static final int BUFFER_BYTES = 256 * 1024;
-    private static final int LONGEST_LINE_BYTES = 64 * 1024;
+    private static final int MAXIMUM_LINE_BYTES = 64 * 1024;
     private static final int GZIP_FIRST_BYTE = 0x1f;
     private static final int GZIP_SECOND_BYTE = 0x8b;
 
     private final List<Path> files;
-    private final Consumer<Path> onFile;
+    private final Consumer<Path> fileListener;
     private long lines;
-    private long broken;
+    private long undecodable;
 
     /**
-     * Makes a reader.
-     *
-     * @param onFile receives each file before it is read, for showing progress
+     * @param fileListener is called with each file before it is read, to show progress
      */
-    LogFiles(List<Path> files, Consumer<Path> onFile) {
+    LogFiles(List<Path> files, Consumer<Path> fileListener) {
         this.files = List.copyOf(files);
-        this.onFile = onFile;
+        this.fileListener = fileListener;
     }
 
-    /** Lines of the last reading. */
-    long lines() {
+    /** Number of lines in the last call of {@link #read}. */
+    long linesRead() {
         return lines;
     }
 
-    /** Lines of the last reading that could not be decoded. */
-    long broken() {
-        return broken;
+    /** Number of lines in the last call of {@link #read} that were too long or could not be decoded. */
+    long undecodableLines() {
+        return undecodable;
     }
 
     /**
-     * Reads all files in their order.
+     * Reads all files in the given order.
      *
-     * @param worthDecoding by the line's text, whether it can matter at all
+     * @param lineFilter selects by its raw text whether a line is decoded; lines that fail it are skipped
      * @throws IOException if a file cannot be read to its end
      */
-    void read(Predicate<String> worthDecoding, Consumer<LogLine> listener) throws IOException {
+    void read(Predicate<String> lineFilter, Consumer<LogLine> listener) throws IOException {
         lines = 0;
-        broken = 0;
+        undecodable = 0;
         for (Path file : files) {
-            onFile.accept(file);
+            fileListener.accept(file);
             try (InputStream input = open(file)) {
-                read(input, worthDecoding, listener);
+                read(input, lineFilter, listener);
             }
         }
     }
@@ -70,16 +68,15 @@
         return gzip ? new BufferedInputStream(new GZIPInputStream(input, BUFFER_BYTES), BUFFER_BYTES) : input;
     }
 
-    private void read(InputStream input, Predicate<String> worthDecoding, Consumer<LogLine> listener)
-            throws IOException {
+    private void read(InputStream input, Predicate<String> lineFilter, Consumer<LogLine> listener) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         boolean tooLong = false;
         int octet = input.read();
         while (octet >= 0) {
             if (octet == '\n') {
-                finish(line, tooLong, worthDecoding, listener);
+                finishLine(line, tooLong, lineFilter, listener);
                 tooLong = false;
-            } else if (line.size() < LONGEST_LINE_BYTES) {
+            } else if (line.size() < MAXIMUM_LINE_BYTES) {
                 line.write(octet);
             } else {
                 tooLong = true;
@@ -87,25 +84,25 @@
             octet = input.read();
         }
         if (line.size() > 0) {
-            finish(line, tooLong, worthDecoding, listener);
+            finishLine(line, tooLong, lineFilter, listener);
         }
     }
 
-    private void finish(
-            ByteArrayOutputStream line, boolean tooLong, Predicate<String> worthDecoding, Consumer<LogLine> listener) {
+    private void finishLine(
+            ByteArrayOutputStream line, boolean tooLong, Predicate<String> lineFilter, Consumer<LogLine> listener) {
         lines++;
         String text = line.toString(StandardCharsets.UTF_8);
         line.reset();
         if (tooLong) {
-            broken++;
+            undecodable++;
             return;
         }
-        if (text.isBlank() || !worthDecoding.test(text)) {
+        if (text.isBlank() || !lineFilter.test(text)) {
             return;
         }
         Optional<LogLine> decoded = LogLine.parse(text);
         if (decoded.isEmpty()) {
-            broken++;
+            undecodable++;
             return;
         }
         listener.accept(decoded.get());
--- a/app/src/main/java/org/quetzalshunt/app/explain/LogLine.java
+++ b/app/src/main/java/org/quetzalshunt/app/explain/LogLine.java
@@ -12,7 +12,7 @@
     private static final String REQUEST = "request";
     private static final String REFUSED = "refused";
 
-    /** Decodes a line, which may have a prefix before its JSON object; empty for a line that is cut or of another kind. */
+    /** Decodes a line that may have a prefix before its JSON object; empty if it is truncated or not a log event. */
     static Optional<LogLine> parse(String text) {
         int start = text.indexOf('{');
         if (start < 0) {
@@ -24,7 +24,7 @@
                 .map(LogLine::new);
     }
 
-    /** When it was written, in Unix milliseconds of its VM. */
+    /** Time of writing, in Unix milliseconds by the VM's clock. */
     long timeMillis() {
         return fields.path("time").asLong();
     }
@@ -37,12 +37,12 @@
         return text("event");
     }
 
-    /** Whether it tells the final answer to a request. */
+    /** Whether this line records the end of a request: its final answer or a refusal. */
     boolean endsRequest() {
         return event().equals(REQUEST) || event().equals(REFUSED);
     }
 
-    /** When the request had arrived, in Unix milliseconds. */
+    /** Time at which the request arrived, in Unix milliseconds. */
     long arrivedMillis() {
         return timeMillis() - number("tookMillis").orElse(0);
     }
@@ -51,7 +51,7 @@
         return ResultCode.fromNumber(fields.path("code").asInt());
     }
 
-    /** A field's text, or nothing. */
+    /** Text of a field, or an empty string if it is missing. */
     String text(String field) {
         return fields.path(field).asText("");
     }
@@ -61,7 +61,7 @@
         return value.isNumber() ? OptionalLong.of(value.asLong()) : OptionalLong.empty();
     }
 
-    /** Whether it is the line of a request, or of a program, with this id. */
+    /** Whether this line belongs to the request or the program with this id. */
     boolean concerns(String id) {
         return text("request").equals(id) || text("program").equals(id);
     }
--- a/app/src/main/java/org/quetzalshunt/app/explain/LossReport.java
+++ b/app/src/main/java/org/quetzalshunt/app/explain/LossReport.java
@@ -12,12 +12,12 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * Late, refused and failed requests by kind, account, data centre, time and reason, and the programs whose last request was
- * not served or came after the program's objective. Memory is bounded by the number of values of each dimension and of
- * programs, not by the length of the logs.
+ * Counts late, refused and failed requests by reason, kind, data centre, account and time, and programs whose last
+ * request was not served or ended after the program's objective. Memory is bounded by the number of values of each
+ * dimension and of tracked programs, not by the length of the logs.
  */
 final class LossReport {
-    /** What losses are counted by, in the order in which they are told. */
+    /** Attributes by which lost requests are counted, in the order of the printed tables. */
     enum Dimension {
         REASON,
         KIND,
@@ -26,18 +26,18 @@
         TIME
     }
 
-    private static final long SLICE_MILLIS = 2_000;
-    private static final int MOST_PROGRAMS = 50_000;
-    private static final int ROWS_SHOWN = 20;
+    private static final long TIME_SLICE_MILLIS = 2_000;
+    private static final int MAXIMUM_TRACKED_PROGRAMS = 50_000;
+    private static final int MAXIMUM_ROWS_PRINTED = 20;
 
-    /** How a program stands after the last of its requests that was seen. */
+    /** State of a program after the last of its requests read so far. */
     private record ProgramState(String route, String reason, boolean lost) {}
 
     private final Map<Dimension, LossTable> requests = new EnumMap<>(Dimension.class);
     private final LossTable programs = new LossTable();
     private final Map<String, String> dataCentres = new HashMap<>();
-    private final LinkedHashMap<String, ProgramState> open = new LinkedHashMap<>();
-    private long firstMillis = Long.MAX_VALUE;
+    private final LinkedHashMap<String, ProgramState> trackedPrograms = new LinkedHashMap<>();
+    private long firstStartMillis = Long.MAX_VALUE;
 
     private LossReport() {
         for (Dimension dimension : Dimension.values()) {
@@ -46,26 +46,26 @@
     }
 
     /**
-     * Reads the logs twice: for where the VMs are and when the log begins, then for the requests.
+     * Reads the logs twice: first for the data centre of each VM and the earliest start, then for the requests.
      *
      * @throws IOException if a log cannot be read
      */
     static LossReport read(LogFiles files) throws IOException {
         LossReport report = new LossReport();
-        files.read(text -> text.contains("\"event\":\"start\""), report::start);
-        files.read(text -> true, report::add);
-        report.open.values().forEach(report::closeProgram);
+        files.read(text -> text.contains("\"event\":\"start\""), report::addStart);
+        files.read(text -> true, report::addRequest);
+        report.trackedPrograms.values().forEach(report::countProgram);
         return report;
     }
 
-    private void start(LogLine line) {
+    private void addStart(LogLine line) {
         if (line.event().equals("start")) {
             dataCentres.put(line.vm(), line.text("dataCentre"));
-            firstMillis = Math.min(firstMillis, line.timeMillis());
+            firstStartMillis = Math.min(firstStartMillis, line.timeMillis());
         }
     }
 
-    private void add(LogLine line) {
+    private void addRequest(LogLine line) {
         if (!line.endsRequest()) {
             return;
         }
@@ -74,7 +74,7 @@
         requests.get(Dimension.KIND).add(orUnknown(line.text("route")), outcome);
         requests.get(Dimension.DATA_CENTRE).add(dataCentres.getOrDefault(line.vm(), "unknown"), outcome);
         requests.get(Dimension.ACCOUNT).add(orUnknown(line.text("account")), outcome);
-        long slice = Math.max(0, line.timeMillis() - firstMillis) / SLICE_MILLIS * SLICE_MILLIS;
+        long slice = Math.max(0, line.timeMillis() - firstStartMillis) / TIME_SLICE_MILLIS * TIME_SLICE_MILLIS;
         requests.get(Dimension.TIME).add(String.format(Locale.ROOT, "%7.0f s", slice / 1_000.0), outcome);
         addToProgram(line, outcome);
     }
@@ -91,29 +91,30 @@
         boolean late = line.number("programLeftMillis").orElse(0) < 0;
         boolean lost = late || outcome == Outcome.REFUSED || outcome == Outcome.FAILED;
         String reason = line.code() == ResultCode.OK && late ? "program late" : FailureCause.reason(line);
-        open.remove(program);
-        open.put(program, new ProgramState(line.text("route"), reason, lost));
-        if (open.size() > MOST_PROGRAMS) {
-            String oldest = open.keySet().iterator().next();
-            closeProgram(open.remove(oldest));
+        trackedPrograms.remove(program);
+        trackedPrograms.put(program, new ProgramState(line.text("route"), reason, lost));
+        if (trackedPrograms.size() > MAXIMUM_TRACKED_PROGRAMS) {
+            String oldest = trackedPrograms.keySet().iterator().next();
+            countProgram(trackedPrograms.remove(oldest));
         }
     }
 
-    private void closeProgram(ProgramState state) {
+    private void countProgram(ProgramState state) {
         programs.add(state.lost() ? state.reason() : "in time", state.lost() ? Outcome.FAILED : Outcome.SERVED);
     }
 
-    /** Writes the tables as text. */
+    /** Prints the tables as text. */
     void print(PrintWriter out) {
         requests.forEach((dimension, table) -> {
             out.printf("%-52s %8s %8s %8s %8s%n", "requests by " + name(dimension), "all", "late", "refused", "failed");
-            table.largest(ROWS_SHOWN)
+            table.largestLosses(MAXIMUM_ROWS_PRINTED)
                     .forEach((value, row) -> out.printf(
                             "  %-50s %8d %8d %8d %8d%n", value, row.all(), row.late(), row.refused(), row.failed()));
             out.println();
         });
         out.println("programs by the end of their last request, where it was not served or past the objective");
-        programs.largest(ROWS_SHOWN).forEach((reason, row) -> out.printf("  %-50s %8d%n", reason, row.lost()));
+        programs.largestLosses(MAXIMUM_ROWS_PRINTED)
+                .forEach((reason, row) -> out.printf("  %-50s %8d%n", reason, row.lost()));
         out.flush();
     }
 
@@ -130,7 +131,7 @@
     }
 
     private static void addRows(ObjectNode target, LossTable table) {
-        table.largest(Integer.MAX_VALUE).forEach((value, row) -> target.putObject(value)
+        table.largestLosses(Integer.MAX_VALUE).forEach((value, row) -> target.putObject(value)
                 .put("all", row.all())
                 .put("late", row.late())
                 .put("refused", row.refused())
--- a/app/src/main/java/org/quetzalshunt/app/explain/LossTable.java
+++ b/app/src/main/java/org/quetzalshunt/app/explain/LossTable.java
@@ -6,12 +6,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Counts what was not served in time under the values of one dimension; bounded, the rest is counted together. */
+/**
+ * Counts outcomes of requests or programs for each value of one dimension. The number of values is bounded; further
+ * values are counted together.
+ */
 final class LossTable {
-    private static final int MOST_ROWS = 5_000;
-    private static final String REST = "others";
+    private static final int MAXIMUM_ROWS = 5_000;
+    private static final String OVERFLOW_VALUE = "others";
 
-    /** One value of the dimension. */
+    /** Counts of one value of the dimension. */
     static final class Row {
         private long all;
         private long late;
@@ -43,8 +46,8 @@
 
     /** Counts one outcome. */
     void add(String value, Outcome outcome) {
-        boolean known = rows.containsKey(value) || rows.size() < MOST_ROWS;
-        Row row = rows.computeIfAbsent(known ? value : REST, ignored -> new Row());
+        boolean hasOwnRow = rows.containsKey(value) || rows.size() < MAXIMUM_ROWS;
+        Row row = rows.computeIfAbsent(hasOwnRow ? value : OVERFLOW_VALUE, ignored -> new Row());
         row.all++;
         switch (outcome) {
             case LATE -> row.late++;
@@ -54,14 +57,14 @@
         }
     }
 
-    /** Values with losses, the largest loss first. */
-    Map<String, Row> largest(int most) {
+    /** Values with losses in descending order of loss, up to a limit. */
+    Map<String, Row> largestLosses(int limit) {
         Comparator<Map.Entry<String, Row>> order =
                 Comparator.comparingLong(entry -> -entry.getValue().lost());
         List<Map.Entry<String, Row>> sorted = rows.entrySet().stream()
                 .filter(entry -> entry.getValue().lost() > 0)
                 .sorted(order.thenComparing(Map.Entry.comparingByKey()))
-                .limit(most)
+                .limit(limit)
                 .toList();
         Map<String, Row> largest = new LinkedHashMap<>();
         sorted.forEach(entry -> largest.put(entry.getKey(), entry.getValue()));
--- a/app/src/main/java/org/quetzalshunt/app/explain/Outcome.java
+++ b/app/src/main/java/org/quetzalshunt/app/explain/Outcome.java
@@ -2,18 +2,18 @@
 
 import org.quetzalshunt.core.result.ResultCode;
 
-/** How a request ended for its caller. */
+/** Outcome of a request for its caller. */
 enum Outcome {
-    /** In time. */
+    /** Served within its route's latency target. */
     SERVED,
-    /** After its target. */
+    /** Served after its route's latency target. */
     LATE,
-    /** It did not run, and was told so. */
+    /** Not run, and refused with a code that says so. */
     REFUSED,
-    /** Without a whole answer, though it may have run. */
+    /** Ended without a complete answer, although it may have run. */
     FAILED;
 
-    private static final int FIRST_RUN_OUTCOME = 4_000;
+    private static final int FIRST_EXECUTION_CODE = 4_000;
     private static final int FIRST_PLATFORM_CODE = 5_000;
 
     static Outcome of(LogLine line) {
@@ -21,7 +21,7 @@
         if (code == ResultCode.OK) {
             return FailureCause.isLate(line) ? LATE : SERVED;
         }
-        boolean mayHaveRun = code.number() >= FIRST_RUN_OUTCOME
+        boolean mayHaveRun = code.number() >= FIRST_EXECUTION_CODE
                 && code.number() < FIRST_PLATFORM_CODE
                 && code != ResultCode.CRASHES_ENDPOINTS;
         return mayHaveRun ? FAILED : REFUSED;
--- a/app/src/main/java/org/quetzalshunt/app/explain/RequestStory.java
+++ b/app/src/main/java/org/quetzalshunt/app/explain/RequestReport.java
@@ -10,66 +10,70 @@
 import java.util.Set;
 
 /**
- * What became of one request, or of all requests of a program, in order, with what changed the beliefs of the VMs that
- * served them. The logs are read twice: for the lines of the id, then for those of its program and VMs.
+ * Report on one request or program: all requests of the program in order of arrival, and the other events that the
+ * gateway of the explained request logged around it. The logs are read three times: for the program of the id, for the
+ * requests of that program, and for the events of the gateway.
  */
-final class RequestStory {
-    private static final int MOST_LINES = 10_000;
-    private static final long BEFORE_MILLIS = 5_000;
-    private static final long AFTER_MILLIS = 200;
+final class RequestReport {
+    private static final int MAXIMUM_LINES = 10_000;
+    private static final long EVENTS_BEFORE_ARRIVAL_MILLIS = 5_000;
+    private static final long EVENTS_AFTER_END_MILLIS = 200;
 
     private final String id;
     private final List<LogLine> requests = new ArrayList<>();
-    private final List<LogLine> beliefs = new ArrayList<>();
+    private final List<LogLine> gatewayEvents = new ArrayList<>();
 
-    private RequestStory(String id) {
+    private RequestReport(String id) {
         this.id = id;
     }
 
     /**
-     * Reads the story of an id; empty when no line has it.
+     * Reads the report on the id of a request or program; empty if no request in the logs has it.
      *
      * @throws IOException if a log cannot be read
      */
-    static Optional<RequestStory> read(String id, LogFiles files) throws IOException {
-        RequestStory story = new RequestStory(id);
+    static Optional<RequestReport> read(String id, LogFiles files) throws IOException {
+        RequestReport report = new RequestReport(id);
         Set<String> ids = new HashSet<>(Set.of(id));
         files.read(text -> text.contains(id), line -> {
             if (line.concerns(id) && !line.text("program").isEmpty()) {
                 ids.add(line.text("program"));
             }
         });
-        files.read(text -> ids.stream().anyMatch(text::contains), line -> story.addRequest(line, ids));
-        if (story.requests.isEmpty()) {
+        files.read(text -> ids.stream().anyMatch(text::contains), line -> report.addRequest(line, ids));
+        if (report.requests.isEmpty()) {
             return Optional.empty();
         }
-        story.requests.sort(Comparator.comparingLong(LogLine::arrivedMillis));
-        story.readBeliefs(files);
-        return Optional.of(story);
+        report.requests.sort(Comparator.comparingLong(LogLine::arrivedMillis));
+        report.readGatewayEvents(files);
+        return Optional.of(report);
     }
 
     private void addRequest(LogLine line, Set<String> ids) {
-        if (line.endsRequest() && ids.stream().anyMatch(line::concerns) && requests.size() < MOST_LINES) {
+        if (line.endsRequest() && ids.stream().anyMatch(line::concerns) && requests.size() < MAXIMUM_LINES) {
             requests.add(line);
         }
     }
 
-    private void readBeliefs(LogFiles files) throws IOException {
-        LogLine asked = asked();
-        long from = asked.arrivedMillis() - BEFORE_MILLIS;
-        long until = asked.timeMillis() + AFTER_MILLIS;
-        String vm = asked.vm();
+    private void readGatewayEvents(LogFiles files) throws IOException {
+        LogLine explained = explained();
+        long from = explained.arrivedMillis() - EVENTS_BEFORE_ARRIVAL_MILLIS;
+        long until = explained.timeMillis() + EVENTS_AFTER_END_MILLIS;
+        String vm = explained.vm();
         files.read(text -> text.contains(vm), line -> {
-            boolean near = line.timeMillis() >= from && line.timeMillis() <= until;
-            if (near && line.vm().equals(vm) && !line.endsRequest() && beliefs.size() < MOST_LINES) {
-                beliefs.add(line);
+            boolean isNearRequest = line.timeMillis() >= from && line.timeMillis() <= until;
+            if (isNearRequest && line.vm().equals(vm) && !line.endsRequest() && gatewayEvents.size() < MAXIMUM_LINES) {
+                gatewayEvents.add(line);
             }
         });
-        beliefs.sort(Comparator.comparingLong(LogLine::timeMillis));
+        gatewayEvents.sort(Comparator.comparingLong(LogLine::timeMillis));
     }
 
-    /** The line of the request asked for; of a program, its first request that was not served, else its last. */
-    LogLine asked() {
+    /**
+     * The request with the given id; for the id of a program, its first unserved request, or its last one if all were
+     * served.
+     */
+    LogLine explained() {
         return requests.stream()
                 .filter(line -> line.text("request").equals(id))
                 .findFirst()
@@ -83,20 +87,20 @@
         return List.copyOf(requests);
     }
 
-    List<LogLine> beliefs() {
-        return List.copyOf(beliefs);
+    List<LogLine> gatewayEvents() {
+        return List.copyOf(gatewayEvents);
     }
 
-    /** Writes the story as text. */
+    /** Prints the report as text. */
     void print(PrintWriter out) {
-        LogLine asked = asked();
+        LogLine explained = explained();
         long origin = requests.get(0).arrivedMillis();
-        out.printf("%s: %s%n%n", asked.text("request"), FailureCause.sentence(asked));
+        out.printf("%s: %s%n%n", explained.text("request"), FailureCause.sentence(explained));
         out.printf("Requests of the program, times in ms since the first arrived:%n");
         for (LogLine line : requests) {
             out.printf(
                     "%s %7d  %-16s %-28s took %5s  %s%s%n",
-                    line.text("request").equals(asked.text("request")) ? "*" : " ",
+                    line.text("request").equals(explained.text("request")) ? "*" : " ",
                     line.arrivedMillis() - origin,
                     line.text("request"),
                     line.vm(),
@@ -104,13 +108,13 @@
                     line.code().number() + " " + FailureCause.reason(line),
                     steps(line));
         }
-        out.printf("%nWhat its gateway %s came to believe from 5 s before:%n", asked.vm());
-        beliefs.forEach(line -> out.printf("  %7d  %s%n", line.timeMillis() - origin, line.fields()));
+        out.printf("%nWhat its gateway %s came to believe from 5 s before:%n", explained.vm());
+        gatewayEvents.forEach(line -> out.printf("  %7d  %s%n", line.timeMillis() - origin, line.fields()));
         out.printf(
                 "%nBelieved when it was decided: configuration %s, proven current %s ms ago; endpoints read %s ms ago.%n",
-                asked.text("configuration"),
-                asked.text("configurationAgeMillis"),
-                asked.text("registrationsAgeMillis"));
+                explained.text("configuration"),
+                explained.text("configurationAgeMillis"),
+                explained.text("registrationsAgeMillis"));
         out.flush();
     }
 
--- a/app/src/main/java/org/quetzalshunt/app/explain/package-info.java
+++ b/app/src/main/java/org/quetzalshunt/app/explain/package-info.java
@@ -1,2 +1,2 @@
-/** Explains from the gateways' logs alone what became of a request, and where requests and programs were lost. */
+/** Offline analysis of gateway logs: the outcome of one request or program, and statistics of unserved or late work. */
 package org.quetzalshunt.app.explain;
--- a/app/src/test/java/org/quetzalshunt/app/explain/ExplainCommandTest.java
+++ b/app/src/test/java/org/quetzalshunt/app/explain/ExplainCommandTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 
-/** From logs of several VMs, plain or gzip, to the cause of a failure and to the table of losses. */
+/** Runs the explain command on the logs of two VMs, one plain and one gzip. */
 final class ExplainCommandTest {
     private static final List<String> FIRST_VM = List.of(
             line(1_000, "vm-1", "\"event\":\"start\",\"dataCentre\":\"a\""),
@@ -90,17 +90,17 @@
                 "q4 | q4: Not served: the connection to the endpoint broke before the answer was whole.",
                 "p1 | q2: Not served: the store did not answer its gateway (the store is unavailable)."
             })
-    void causeIsOneSentence(String id, String sentence) {
+    void reportStartsWithTheCauseInOneSentence(String id, String sentence) {
         assertThat(run(id)).isEqualTo(0);
         assertThat(out.toString()).startsWith(sentence);
     }
 
     @Test
-    void storyHasTheWholeProgramInOrderAndWhatItsGatewayBelieved() {
+    void reportHasAllRequestsOfTheProgramInOrderAndEventsOfItsGateway() {
         run("q2");
-        String story = out.toString();
-        assertThat(story).containsMatch("(?s) q1 .*\\* .* q2 .* q3 .*dependency-lost");
-        assertThat(story).doesNotContain("q4");
+        String report = out.toString();
+        assertThat(report).containsMatch("(?s) q1 .*\\* .* q2 .* q3 .*dependency-lost");
+        assertThat(report).doesNotContain("q4");
     }
 
     @Test
@@ -127,7 +127,7 @@
 
     /** Guards against a reader whose memory grows with the length of a line. */
     @Test
-    void endlessLineIsCountedAndLeftOut() throws IOException {
+    void overlongLineIsCountedAndSkipped() throws IOException {
         Files.writeString(plain, "{\"time\":1" + " ".repeat(1_000_000) + "}\n" + FIRST_VM.get(3) + "\n");
         assertThat(run("q2")).isEqualTo(0);
         assertThat(out.toString()).startsWith("q2: Not served");
@@ -135,18 +135,18 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "q1 --losses"})
-    void eitherAnIdOrLossesIsNeeded(String words) {
+    void exactlyOneOfIdAndLossesIsRequired(String words) {
         assertThat(run(words.isEmpty() ? new String[0] : words.split(" "))).isEqualTo(2);
     }
 
     @Test
-    void unknownIdIsToldByExitCode() {
+    void unknownIdGivesFailureExitCode() {
         assertThat(run("nowhere")).isEqualTo(1);
         assertThat(error.toString()).contains("7001");
     }
 
     @Test
-    void missingFileIsToldByExitCode() throws IOException {
+    void missingFileGivesFailureExitCode() throws IOException {
         Files.delete(plain);
         assertThat(run("--losses")).isEqualTo(1);
     }
