--- a/app/src/main/java/org/quetzalshunt/app/load/AccountResult.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/AccountResult.java
@@ -6,14 +6,14 @@
 import org.HdrHistogram.Histogram;
 import org.quetzalshunt.wire.json.Json;
 
-/** What one client account got. Latencies in microseconds. */
+/** Counts and latency histograms of one client account. Latencies are in microseconds. */
 final class AccountResult {
-    private static final long HIGHEST_MICROS = 600_000_000L;
+    private static final long MAXIMUM_LATENCY_MICROS = 600_000_000L;
     private static final int SIGNIFICANT_DIGITS = 3;
 
-    private final Histogram program = new Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS);
-    private final Histogram firstToken = new Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS);
-    private final Histogram betweenTokens = new Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS);
+    private final Histogram program = new Histogram(MAXIMUM_LATENCY_MICROS, SIGNIFICANT_DIGITS);
+    private final Histogram firstToken = new Histogram(MAXIMUM_LATENCY_MICROS, SIGNIFICANT_DIGITS);
+    private final Histogram betweenTokens = new Histogram(MAXIMUM_LATENCY_MICROS, SIGNIFICANT_DIGITS);
     private final Map<Integer, Integer> refusals = new TreeMap<>();
     private int started;
     private int finished;
@@ -29,45 +29,45 @@
         return new AccountResult();
     }
 
-    void started() {
+    void recordStart() {
         started++;
     }
 
-    void finished(long micros) {
+    void recordFinish(long micros) {
         finished++;
         record(program, micros);
     }
 
-    void failed() {
+    void recordFailure() {
         failed++;
     }
 
-    void firstToken(long micros) {
+    void recordFirstToken(long micros) {
         record(firstToken, micros);
     }
 
-    void betweenTokens(long micros) {
+    void recordTokenInterval(long micros) {
         record(betweenTokens, micros);
     }
 
-    void answered() {
+    void recordTurn() {
         turns++;
     }
 
-    void wrongAnswer() {
+    void recordWrongAnswer() {
         wrongAnswers++;
     }
 
-    /** An answer that a bound on tokens ended. */
-    void shortenedAnswer() {
+    /** Counts an answer that ended at a token limit. */
+    void recordShortenedAnswer() {
         shortenedAnswers++;
     }
 
-    void cutAnswer() {
+    void recordCutAnswer() {
         cutAnswers++;
     }
 
-    void refused(int code) {
+    void recordRefusal(int code) {
         refusals.merge(code, 1, Integer::sum);
     }
 
@@ -120,6 +120,6 @@
     }
 
     private static void record(Histogram histogram, long micros) {
-        histogram.recordValue(Math.min(HIGHEST_MICROS, Math.max(0, micros)));
+        histogram.recordValue(Math.min(MAXIMUM_LATENCY_MICROS, Math.max(0, micros)));
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/load/Arrival.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/Arrival.java
@@ -5,16 +5,16 @@
 import java.util.SplittableRandom;
 
 /**
- * When a program is due, and whose it is.
+ * Scheduled arrival of a program.
  *
- * @param dueMicros microseconds after the start
+ * @param dueMicros scheduled time in microseconds after the start of the run
  */
 record Arrival(long dueMicros, String account, ProgramPlan plan) {
     private static final double MICROS_PER_SECOND = 1_000_000.0;
 
     /**
-     * Draws a Poisson process for each account. All have the same rate but for one, which sends {@code heavyFactor}
-     * times as much; the rates add up to {@code programsPerSecond}.
+     * Draws a Poisson process for each account. All accounts have the same rate except the heavy account, whose rate is
+     * {@code heavyFactor} times as high. The rates add up to {@code programsPerSecond}.
      */
     static List<Arrival> draw(LoadPlan plan) {
         double shares = plan.accounts().size() - 1 + plan.heavyFactor();
--- a/app/src/main/java/org/quetzalshunt/app/load/ChatAnswer.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/ChatAnswer.java
@@ -4,20 +4,20 @@
 import org.quetzalshunt.standin.engine.StandinAnswer;
 
 /**
- * A streamed answer that came with its end mark.
+ * A streamed answer that was received up to its end marker.
  *
- * @param finishReason {@code stop}, or {@code length} where a bound on tokens ended it
+ * @param finishReason {@code stop}, or {@code length} if it ended at a token limit
  */
 record ChatAnswer(String text, String finishReason) {
     private static final String LENGTH = "length";
 
-    boolean shortened() {
+    boolean isShortened() {
         return finishReason.equals(LENGTH);
     }
 
-    /** Whether the stand-in engine gives this answer to these messages; a shortened one must be their beginning. */
-    boolean belongsTo(JsonNode messages) {
-        int limit = shortened() ? text.split(" ").length : Integer.MAX_VALUE;
+    /** Whether this equals the stand-in engine's answer to the messages, or its beginning if this one is shortened. */
+    boolean matchesStandin(JsonNode messages) {
+        int limit = isShortened() ? text.split(" ").length : Integer.MAX_VALUE;
         return text.equals(StandinAnswer.to(messages, limit).text());
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/load/ChatCall.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/ChatCall.java
@@ -8,23 +8,23 @@
 import org.quetzalshunt.server.http.HttpResponseListener;
 import org.quetzalshunt.wire.json.Json;
 
-/** Reads one streamed chat completion and notes when its tokens came. */
+/** Reads one streamed chat completion and records the latencies of its tokens. */
 final class ChatCall implements HttpResponseListener {
     private static final int OK = 200;
-    private static final String DONE = "[DONE]";
+    private static final String END_MARKER = "[DONE]";
 
     private final LoadClock clock;
     private final long dueMicros;
     private final AccountResult result;
     private final Consumer<ChatAnswer> onAnswer;
     private final Consumer<CallFailure> onFailure;
-    private final SseReader events = SseReader.create(this::event);
+    private final SseReader events = SseReader.create(this::onEvent);
     private final ByteArrayOutputStream errorBody = new ByteArrayOutputStream();
     private final StringBuilder text = new StringBuilder();
     private String finishReason = "";
     private int status;
     private long lastTokenMicros;
-    private boolean done;
+    private boolean hasEndMarker;
     private CallFailure failureInStream;
 
     private ChatCall(
@@ -40,7 +40,7 @@
         this.onFailure = onFailure;
     }
 
-    /** A call that was due at a time, perhaps before it could be sent: its first token counts from there. */
+    /** Creates a call whose latency to the first token is measured from {@code dueMicros}, even if it is sent later. */
     static ChatCall create(
             LoadClock clock,
             long dueMicros,
@@ -67,33 +67,33 @@
     @Override
     public void onEnd() {
         if (status != OK) {
-            onFailure.accept(CallFailure.read(errorBody.toByteArray()));
-        } else if (done) {
+            onFailure.accept(CallFailure.parse(errorBody.toByteArray()));
+        } else if (hasEndMarker) {
             onAnswer.accept(new ChatAnswer(text.toString(), finishReason));
         } else if (failureInStream != null) {
             onFailure.accept(failureInStream);
         } else {
-            result.cutAnswer();
-            onFailure.accept(CallFailure.broken());
+            result.recordCutAnswer();
+            onFailure.accept(CallFailure.connectionBroken());
         }
     }
 
     @Override
     public void onFailure(String reason, boolean requestMayHaveArrived) {
         if (text.length() > 0) {
-            result.cutAnswer();
+            result.recordCutAnswer();
         }
-        onFailure.accept(CallFailure.broken());
+        onFailure.accept(CallFailure.connectionBroken());
     }
 
-    private void event(String data) {
-        if (data.equals(DONE)) {
-            done = true;
+    private void onEvent(String data) {
+        if (data.equals(END_MARKER)) {
+            hasEndMarker = true;
             return;
         }
         JsonNode chunk = Json.parse(data.getBytes(StandardCharsets.UTF_8)).orElse(Json.object());
         if (chunk.has("error")) {
-            failureInStream = CallFailure.read(chunk.path("error"));
+            failureInStream = CallFailure.parse(chunk.path("error"));
             return;
         }
         finishReason = chunk.at("/choices/0/finish_reason").asText(finishReason);
@@ -101,16 +101,16 @@
         if (content.isEmpty()) {
             return;
         }
-        noteToken();
+        recordToken();
         text.append(content);
     }
 
-    private void noteToken() {
+    private void recordToken() {
         long now = clock.micros();
         if (text.length() == 0) {
-            result.firstToken(now - dueMicros);
+            result.recordFirstToken(now - dueMicros);
         } else {
-            result.betweenTokens(now - lastTokenMicros);
+            result.recordTokenInterval(now - lastTokenMicros);
         }
         lastTokenMicros = now;
     }
--- a/app/src/main/java/org/quetzalshunt/app/load/WholeCall.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/JsonCall.java
@@ -7,22 +7,22 @@
 import org.quetzalshunt.server.http.HttpResponseListener;
 import org.quetzalshunt.wire.json.Json;
 
-/** Reads one answer whose body is a JSON value. */
-final class WholeCall implements HttpResponseListener {
+/** Reads one response whose body is a JSON value. */
+final class JsonCall implements HttpResponseListener {
     private static final int FIRST_ERROR_STATUS = 400;
 
-    private final Consumer<JsonNode> onAnswer;
+    private final Consumer<JsonNode> onResponse;
     private final Consumer<CallFailure> onFailure;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
 
-    private WholeCall(Consumer<JsonNode> onAnswer, Consumer<CallFailure> onFailure) {
-        this.onAnswer = onAnswer;
+    private JsonCall(Consumer<JsonNode> onResponse, Consumer<CallFailure> onFailure) {
+        this.onResponse = onResponse;
         this.onFailure = onFailure;
     }
 
-    static WholeCall create(Consumer<JsonNode> onAnswer, Consumer<CallFailure> onFailure) {
-        return new WholeCall(onAnswer, onFailure);
+    static JsonCall create(Consumer<JsonNode> onResponse, Consumer<CallFailure> onFailure) {
+        return new JsonCall(onResponse, onFailure);
     }
 
     @Override
@@ -38,14 +38,14 @@
     @Override
     public void onEnd() {
         if (status >= FIRST_ERROR_STATUS) {
-            onFailure.accept(CallFailure.read(body.toByteArray()));
+            onFailure.accept(CallFailure.parse(body.toByteArray()));
             return;
         }
-        onAnswer.accept(Json.parse(body.toByteArray()).orElse(Json.object()));
+        onResponse.accept(Json.parse(body.toByteArray()).orElse(Json.object()));
     }
 
     @Override
     public void onFailure(String reason, boolean requestMayHaveArrived) {
-        onFailure.accept(CallFailure.broken());
+        onFailure.accept(CallFailure.connectionBroken());
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/load/LoadClock.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/LoadClock.java
@@ -1,6 +1,6 @@
 package org.quetzalshunt.app.load;
 
-/** Microseconds since the run started, from a clock that never goes back. */
+/** Monotonic clock that counts microseconds since the start of the run. */
 final class LoadClock {
     private static final long NANOS_PER_MICRO = 1_000;
 
--- a/app/src/main/java/org/quetzalshunt/app/load/LoadCommand.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/LoadCommand.java
@@ -22,13 +22,14 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code quetzalshunt load}: puts programs of a deployment's shape on entries that listen on loopback. No flag is
- * marked as required, because {@code load compare} takes none of them.
+ * {@code quetzalshunt load}: runs programs of a workload shape against entries on loopback. No option is marked as
+ * required, because the subcommand {@code load compare} takes none of them.
  */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
-        description = "Open-loop load of whole programs on entries on loopback; prints results as one line of JSON.")
+        description =
+                "Runs open-loop load of whole programs against entries on loopback; prints results as one line of JSON.")
 public final class LoadCommand implements Callable<Integer> {
     private static final int MAXIMUM_SECONDS = 3_600;
     private static final int MAXIMUM_PROGRAMS = 1_000_000;
@@ -36,64 +37,70 @@
     @Spec
     private CommandSpec command;
 
-    @Option(names = "--entry", split = ",", description = "entries' addresses as host:port, loopback")
+    @Option(names = "--entry", split = ",", description = "loopback addresses of entries as host:port")
     private List<String> entries = List.of();
 
-    @Option(names = "--key", split = ",", description = "client accounts' keys as account=KEY")
+    @Option(names = "--key", split = ",", description = "keys of client accounts as account=KEY")
     private Map<String, String> keys = Map.of();
 
-    @Option(names = "--service", defaultValue = "", description = "service that is called")
+    @Option(names = "--service", defaultValue = "", description = "name of the called service")
     private String service;
 
     @Option(
             names = "--shape",
             defaultValue = "mawe-kavu",
-            description = "kite-readers or mawe-kavu (default: ${DEFAULT-VALUE})")
+            description = "workload shape: kite-readers or mawe-kavu (default: ${DEFAULT-VALUE})")
     private String shape;
 
-    @Option(names = "--seconds", defaultValue = "20", description = "time of arrivals (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seconds",
+            defaultValue = "20",
+            description = "time over which programs arrive (default: ${DEFAULT-VALUE})")
     private int seconds;
 
     @Option(
             names = "--programs-per-second",
             defaultValue = "2",
-            description = "rate over all accounts (default: ${DEFAULT-VALUE})")
+            description = "arrival rate of programs over all accounts (default: ${DEFAULT-VALUE})")
     private double programsPerSecond;
 
     @Option(
             names = "--maximum-programs",
             defaultValue = "10000",
-            description = "bound on all programs (default: ${DEFAULT-VALUE})")
+            description = "upper bound on the number of programs (default: ${DEFAULT-VALUE})")
     private int maximumPrograms;
 
-    @Option(names = "--heavy-account", defaultValue = "", description = "account that sends more than the others")
+    @Option(
+            names = "--heavy-account",
+            defaultValue = "",
+            description = "account that sends more programs than the others")
     private String heavyAccount;
 
     @Option(
             names = "--heavy-factor",
             defaultValue = "5",
-            description = "how much more it sends (default: ${DEFAULT-VALUE})")
+            description = "factor by which it sends more than another account (default: ${DEFAULT-VALUE})")
     private double heavyFactor;
 
     @Option(
             names = "--drain-seconds",
             defaultValue = "30",
-            description = "time to finish after the last arrival (default: ${DEFAULT-VALUE})")
+            description = "time for programs to finish after arrivals end (default: ${DEFAULT-VALUE})")
     private int drainSeconds;
 
-    @Option(names = "--seed", defaultValue = "1", description = "seed of arrivals and programs")
+    @Option(names = "--seed", defaultValue = "1", description = "random seed of arrivals and programs")
     private long seed;
 
     @Option(names = "--check-answers", description = "compare answers with those of the stand-in engine")
     private boolean checkAnswers;
 
-    @Option(names = "--json", description = "file for the results")
+    @Option(names = "--json", description = "file to write the results to")
     private Path jsonFile;
 
-    @Option(names = "--html", description = "file for a page with plots")
+    @Option(names = "--html", description = "file to write an HTML page with plots to")
     private Path htmlFile;
 
-    /** Made by picocli. */
+    /** Instantiated by picocli. */
     public LoadCommand() {}
 
     @Override
@@ -112,18 +119,19 @@
         return 0;
     }
 
-    /** {@code quetzalshunt load compare A B}: two files that {@code --json} wrote. */
+    /** {@code quetzalshunt load compare A B}: compares two files that {@code --json} wrote. */
     @Command(name = "compare", mixinStandardHelpOptions = true, description = "Compares two result files.")
     int compare(
             @Parameters(index = "0", paramLabel = "A", description = "first result file") Path first,
             @Parameters(index = "1", paramLabel = "B", description = "second result file") Path second)
             throws IOException {
-        System.out.print(LoadComparison.text(read(first), read(second)));
+        System.out.print(LoadComparison.text(readResult(first), readResult(second)));
         return 0;
     }
 
-    private JsonNode read(Path file) throws IOException {
-        return Json.parse(Files.readAllBytes(file)).orElseThrow(() -> wrong(file + " is not a result file"));
+    private JsonNode readResult(Path file) throws IOException {
+        return Json.parse(Files.readAllBytes(file))
+                .orElseThrow(() -> invalidParameter(file + " is not a JSON result file"));
     }
 
     private LoadPlan plan() {
@@ -131,18 +139,22 @@
         require(!keys.isEmpty(), "--key is missing");
         require(!service.isEmpty(), "--service is missing");
         require(seconds >= 1 && seconds <= MAXIMUM_SECONDS, "--seconds must be from 1 to " + MAXIMUM_SECONDS);
-        require(drainSeconds >= 0 && drainSeconds <= MAXIMUM_SECONDS, "--drain-seconds must be at most an hour");
+        require(
+                drainSeconds >= 0 && drainSeconds <= MAXIMUM_SECONDS,
+                "--drain-seconds must be at least 0 and at most 3600");
         require(programsPerSecond > 0, "--programs-per-second must be above 0");
         require(maximumPrograms <= MAXIMUM_PROGRAMS, "--maximum-programs must be at most " + MAXIMUM_PROGRAMS);
         require(heavyFactor > 0, "--heavy-factor must be above 0");
-        require(heavyAccount.isEmpty() || keys.containsKey(heavyAccount), "--heavy-account needs its --key");
-        Optional<LoadShape> known = LoadShape.named(shape);
-        require(known.isPresent(), "--shape must be kite-readers or mawe-kavu");
+        require(
+                heavyAccount.isEmpty() || keys.containsKey(heavyAccount),
+                "--heavy-account must be one of the accounts in --key");
+        Optional<LoadShape> knownShape = LoadShape.byName(shape);
+        require(knownShape.isPresent(), "--shape must be kite-readers or mawe-kavu");
         return new LoadPlan(
-                entries.stream().map(this::loopback).toList(),
+                entries.stream().map(this::parseLoopbackAddress).toList(),
                 service,
                 keys,
-                known.orElseThrow(),
+                knownShape.orElseThrow(),
                 seconds,
                 programsPerSecond,
                 maximumPrograms,
@@ -153,7 +165,7 @@
                 checkAnswers);
     }
 
-    private InetSocketAddress loopback(String text) {
+    private InetSocketAddress parseLoopbackAddress(String text) {
         String address = text.replaceFirst("^http://", "");
         int colon = address.lastIndexOf(':');
         require(colon > 0 && address.substring(colon + 1).matches("\\d{1,5}"), "--entry must be host:port: " + text);
@@ -167,11 +179,11 @@
 
     private void require(boolean condition, String problem) {
         if (!condition) {
-            throw wrong(problem);
+            throw invalidParameter(problem);
         }
     }
 
-    private ParameterException wrong(String problem) {
+    private ParameterException invalidParameter(String problem) {
         return new ParameterException(command.commandLine(), problem);
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/load/LoadComparison.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/LoadComparison.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Two results side by side: counts, then percentiles of each latency with their ratio. */
+/** Formats two results side by side: counts, then percentiles of each latency, each with its ratio. */
 final class LoadComparison {
     private static final List<String> COUNTS =
             List.of("started", "finished", "failed", "unfinished", "cutAnswers", "wrongAnswers", "shortenedAnswers");
     private static final List<String> MEASURES = List.of("programMicros", "firstTokenMicros", "betweenTokensMicros");
-    private static final List<String> SHOWN = List.of("p50", "p90", "p99", "max");
+    private static final List<String> STATISTICS = List.of("p50", "p90", "p99", "max");
     private static final double MICROS_PER_MILLI = 1_000.0;
 
     private LoadComparison() {}
@@ -23,15 +23,15 @@
                     second.at("/all/" + count).asDouble()));
         }
         for (String measure : MEASURES) {
-            for (String percentile : SHOWN) {
-                String pointer = "/all/" + measure + "/" + percentile;
+            for (String statistic : STATISTICS) {
+                String pointer = "/all/" + measure + "/" + statistic;
                 text.append(row(
-                        measure.replace("Micros", "") + " " + percentile + " ms",
+                        measure.replace("Micros", "") + " " + statistic + " ms",
                         first.at(pointer).asDouble() / MICROS_PER_MILLI,
                         second.at(pointer).asDouble() / MICROS_PER_MILLI));
             }
         }
-        text.append(row("worst account p99 ms", worst(first), worst(second)));
+        text.append(row("worst account p99 ms", worstAccountMillis(first), worstAccountMillis(second)));
         text.append("refusals by code: A ").append(first.at("/all/refusals"));
         return text.append(", B ")
                 .append(second.at("/all/refusals"))
@@ -39,7 +39,7 @@
                 .toString();
     }
 
-    private static double worst(JsonNode result) {
+    private static double worstAccountMillis(JsonNode result) {
         double worst = 0;
         for (JsonNode account : result.path("accounts")) {
             worst = Math.max(worst, account.at("/programMicros/p99").asDouble() / MICROS_PER_MILLI);
--- a/app/src/main/java/org/quetzalshunt/app/load/LoadContext.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/LoadContext.java
@@ -1,4 +1,4 @@
 package org.quetzalshunt.app.load;
 
-/** What all programs of a run share. */
-record LoadContext(LoadPlan plan, CallerConnection connection, LoadClock clock) {}
+/** Objects that all programs of a run share. */
+record LoadContext(LoadPlan plan, RoundRobinClient client, LoadClock clock) {}
--- a/app/src/main/java/org/quetzalshunt/app/load/LoadPlan.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/LoadPlan.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 
 /**
- * One run of the tool.
+ * Parameters of one run.
  *
- * @param entries where calls go, each program's calls in turn
- * @param service value of {@code model}
+ * @param entries addresses to which calls are sent round-robin
+ * @param service name of the called service, sent as {@code model}
  * @param keys key of each client account
- * @param seconds time in which programs arrive
- * @param programsPerSecond rate over all accounts
- * @param maximumPrograms bound on all programs
- * @param heavyAccount the account that sends more than the others; empty: none
- * @param heavyFactor how much more
- * @param drainSeconds time after the last arrival in which programs may finish
+ * @param seconds duration of arrivals
+ * @param programsPerSecond arrival rate of programs over all accounts
+ * @param maximumPrograms maximum number of programs
+ * @param heavyAccount account with a higher arrival rate than the others; empty if there is none
+ * @param heavyFactor ratio of the heavy account's arrival rate to that of another account
+ * @param drainSeconds time for programs to finish after arrivals end
  * @param checkAnswers whether answers are compared with those of the stand-in engine
  */
 record LoadPlan(
--- a/app/src/main/java/org/quetzalshunt/app/load/LoadReport.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/LoadReport.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Results as a page with plots and no outside files: percentiles of each latency, one line an account. */
+/** Formats results as a self-contained HTML page that plots the latency percentiles of each account. */
 final class LoadReport {
     private static final int WIDTH = 640;
     private static final int HEIGHT = 260;
     private static final int MARGIN = 50;
     private static final double MICROS_PER_MILLI = 1_000.0;
-    private static final double LOWEST_MILLIS = 0.1;
+    private static final double AXIS_MINIMUM_MILLIS = 0.1;
     private static final String[] COLOURS = {
         "#1f77b4", "#d62728", "#2ca02c", "#9467bd", "#ff7f0e", "#8c564b", "#17becf", "#7f7f7f"
     };
@@ -52,7 +52,7 @@
         StringBuilder svg = new StringBuilder(String.format(
                 "<h2>%s (ms, by percentile)</h2><svg width=\"%d\" height=\"%d\" font-size=\"11\">",
                 title, WIDTH + 160, HEIGHT + MARGIN));
-        for (double millis = LOWEST_MILLIS; millis <= highest * 10; millis *= 10) {
+        for (double millis = AXIS_MINIMUM_MILLIS; millis <= highest * 10; millis *= 10) {
             double y = Math.max(0, y(millis, highest));
             svg.append(String.format(
                     Locale.ROOT,
@@ -64,44 +64,44 @@
                     y + 4,
                     millis));
         }
-        for (int i = 0; i < Percentiles.SHOWN.length; i++) {
+        for (int i = 0; i < Percentiles.REPORTED.length; i++) {
             svg.append(String.format(
                     Locale.ROOT,
                     "<text x=\"%.1f\" y=\"%d\">%s</text>",
                     x(i),
                     HEIGHT + 20,
-                    Percentiles.name(Percentiles.SHOWN[i])));
+                    Percentiles.name(Percentiles.REPORTED[i])));
         }
         List<String> names = new ArrayList<>();
         result.path("accounts").fieldNames().forEachRemaining(names::add);
         for (int i = 0; i < names.size(); i++) {
-            svg.append(line(
+            svg.append(polyline(
                     names.get(i), i, result.path("accounts").path(names.get(i)).path(measure), highest));
         }
         return svg.append("</svg>").toString();
     }
 
-    private static String line(String name, int number, JsonNode percentiles, double highest) {
-        String colour = COLOURS[number % COLOURS.length];
+    private static String polyline(String name, int index, JsonNode percentiles, double highest) {
+        String colour = COLOURS[index % COLOURS.length];
         StringBuilder points = new StringBuilder();
-        for (int i = 0; i < Percentiles.SHOWN.length; i++) {
+        for (int i = 0; i < Percentiles.REPORTED.length; i++) {
             double millis =
-                    percentiles.path(Percentiles.name(Percentiles.SHOWN[i])).asLong() / MICROS_PER_MILLI;
+                    percentiles.path(Percentiles.name(Percentiles.REPORTED[i])).asLong() / MICROS_PER_MILLI;
             points.append(String.format(Locale.ROOT, "%.1f,%.1f ", x(i), y(millis, highest)));
         }
         return String.format(
                 "<polyline fill=\"none\" stroke=\"%s\" points=\"%s\"/><text x=\"%d\" y=\"%d\" fill=\"%s\">%s</text>",
-                colour, points, WIDTH + 8, 20 + 16 * number, colour, escape(name));
+                colour, points, WIDTH + 8, 20 + 16 * index, colour, escape(name));
     }
 
-    private static double x(int percentile) {
-        return MARGIN + percentile * (WIDTH - MARGIN - 30.0) / (Percentiles.SHOWN.length - 1);
+    private static double x(int percentileIndex) {
+        return MARGIN + percentileIndex * (WIDTH - MARGIN - 30.0) / (Percentiles.REPORTED.length - 1);
     }
 
-    /** Logarithmic, since a tail is many times its median. */
+    /** Logarithmic scale, because tail latencies are many times the median. */
     private static double y(double millis, double highest) {
-        double span = Math.log10(highest / LOWEST_MILLIS);
-        double share = Math.log10(Math.max(LOWEST_MILLIS, millis) / LOWEST_MILLIS) / span;
+        double span = Math.log10(highest / AXIS_MINIMUM_MILLIS);
+        double share = Math.log10(Math.max(AXIS_MINIMUM_MILLIS, millis) / AXIS_MINIMUM_MILLIS) / span;
         return HEIGHT - share * (HEIGHT - 10);
     }
 
--- a/app/src/main/java/org/quetzalshunt/app/load/LoadRun.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/LoadRun.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.quetzalshunt.wire.json.Json;
 
-/** Lets the programs of a plan arrive, all on one event loop, until they are done or time is up. */
+/** Runs the programs of a plan on one event loop until each has finished or failed, or the plan's time is up. */
 final class LoadRun {
     private static final long PROGRESS_SECONDS = 2;
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -19,98 +19,99 @@
     private final LoadPlan plan;
     private final EventLoop loop;
     private final PrintStream progress;
-    private final CallerConnection connection;
+    private final RoundRobinClient client;
     private final Map<String, AccountResult> results = new TreeMap<>();
-    private final CompletableFuture<ObjectNode> whenOver = new CompletableFuture<>();
-    private final String runName = Long.toHexString(System.nanoTime());
+    private final CompletableFuture<ObjectNode> resultFuture = new CompletableFuture<>();
+    private final String runId = Long.toHexString(System.nanoTime());
     private LoadClock clock;
     private List<Arrival> arrivals = List.of();
     private ScheduledFuture<?> progressTimer;
-    private int next;
-    private int ended;
+    private int nextArrival;
+    private int endedPrograms;
 
     private LoadRun(LoadPlan plan, EventLoop loop, PrintStream progress) {
         this.plan = plan;
         this.loop = loop;
         this.progress = progress;
-        this.connection = CallerConnection.create(loop, plan.entries());
+        this.client = RoundRobinClient.create(loop, plan.entries());
         plan.accounts().forEach(account -> results.put(account, AccountResult.create()));
     }
 
-    /** Starts; the result comes as JSON. */
+    /** Starts a run. The future completes with the results as JSON. */
     static CompletableFuture<ObjectNode> start(LoadPlan plan, EventLoop loop, PrintStream progress) {
         LoadRun run = new LoadRun(plan, loop, progress);
         loop.execute(run::begin);
-        return run.whenOver;
+        return run.resultFuture;
     }
 
     private void begin() {
         arrivals = Arrival.draw(plan);
         clock = LoadClock.start();
         progress.printf("%d programs over %d s%n", arrivals.size(), plan.seconds());
-        progressTimer = loop.scheduleAtFixedRate(this::report, PROGRESS_SECONDS, PROGRESS_SECONDS, TimeUnit.SECONDS);
+        progressTimer =
+                loop.scheduleAtFixedRate(this::printProgress, PROGRESS_SECONDS, PROGRESS_SECONDS, TimeUnit.SECONDS);
         loop.schedule(this::finish, plan.seconds() + (long) plan.drainSeconds(), TimeUnit.SECONDS);
         scheduleNext();
-        finishWhenDone();
+        finishIfAllEnded();
     }
 
     private void scheduleNext() {
-        if (next == arrivals.size()) {
+        if (nextArrival == arrivals.size()) {
             return;
         }
-        long wait = Math.max(0, arrivals.get(next).dueMicros() - clock.micros());
+        long wait = Math.max(0, arrivals.get(nextArrival).dueMicros() - clock.micros());
         loop.schedule(this::startDue, wait, TimeUnit.MICROSECONDS);
     }
 
     private void startDue() {
-        while (next < arrivals.size() && arrivals.get(next).dueMicros() <= clock.micros()) {
-            startProgram(arrivals.get(next), next);
-            next++;
+        while (nextArrival < arrivals.size() && arrivals.get(nextArrival).dueMicros() <= clock.micros()) {
+            startProgram(arrivals.get(nextArrival), nextArrival);
+            nextArrival++;
         }
         scheduleNext();
     }
 
     private void startProgram(Arrival arrival, int number) {
         AccountResult result = results.get(arrival.account());
-        result.started();
-        LoadContext context = new LoadContext(plan, connection, clock);
+        result.recordStart();
+        LoadContext context = new LoadContext(plan, client, clock);
         ProgramRun.create(
                         context,
                         arrival.account(),
                         result,
-                        runName + "-" + number,
+                        runId + "-" + number,
                         arrival.plan(),
-                        end -> programEnded(arrival, result, end))
+                        end -> onProgramEnd(arrival, result, end))
                 .start();
     }
 
-    private void programEnded(Arrival arrival, AccountResult result, ProgramEnd end) {
+    private void onProgramEnd(Arrival arrival, AccountResult result, ProgramEnd end) {
         if (end == ProgramEnd.FINISHED) {
-            result.finished(clock.micros() - arrival.dueMicros());
+            result.recordFinish(clock.micros() - arrival.dueMicros());
         } else {
-            result.failed();
+            result.recordFailure();
         }
-        ended++;
-        finishWhenDone();
+        endedPrograms++;
+        finishIfAllEnded();
     }
 
-    private void finishWhenDone() {
-        if (ended == arrivals.size()) {
+    private void finishIfAllEnded() {
+        if (endedPrograms == arrivals.size()) {
             finish();
         }
     }
 
     private void finish() {
-        if (whenOver.isDone()) {
+        if (resultFuture.isDone()) {
             return;
         }
         progressTimer.cancel(false);
-        report();
-        whenOver.complete(toJson());
-        loop.execute(connection::close);
+        printProgress();
+        resultFuture.complete(toJson());
+        loop.execute(client::close);
     }
 
-    private void report() {
+    private void printProgress() {
         AccountResult all = total();
         progress.printf(
                 "%3d s: %d started, %d finished, %d failed, refusals by code %s%n",
--- a/app/src/main/java/org/quetzalshunt/app/load/Percentiles.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/Percentiles.java
@@ -4,9 +4,9 @@
 import org.HdrHistogram.Histogram;
 import org.quetzalshunt.wire.json.Json;
 
-/** Percentiles of a histogram as JSON: {@code count}, {@code mean}, {@code max} and {@code p50} to {@code p99.9}. */
+/** Statistics of a histogram as JSON: {@code count}, {@code mean}, {@code max} and {@code p10} to {@code p99.9}. */
 final class Percentiles {
-    static final double[] SHOWN = {10, 25, 50, 75, 90, 95, 99, 99.9};
+    static final double[] REPORTED = {10, 25, 50, 75, 90, 95, 99, 99.9};
 
     private Percentiles() {}
 
@@ -15,7 +15,7 @@
                 .put("count", histogram.getTotalCount())
                 .put("mean", Math.round(histogram.getMean()))
                 .put("max", histogram.getMaxValue());
-        for (double percentile : SHOWN) {
+        for (double percentile : REPORTED) {
             node.put(name(percentile), histogram.getValueAtPercentile(percentile));
         }
         return node;
--- a/app/src/main/java/org/quetzalshunt/app/load/ProgramEnd.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/ProgramEnd.java
@@ -1,6 +1,6 @@
 package org.quetzalshunt.app.load;
 
-/** How a program ended for its caller. */
+/** Whether a program finished or failed from the point of view of its caller. */
 enum ProgramEnd {
     FINISHED,
     FAILED
--- a/app/src/main/java/org/quetzalshunt/app/load/ProgramPlan.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/ProgramPlan.java
@@ -5,19 +5,19 @@
 import java.util.SplittableRandom;
 
 /**
- * What one program will do, drawn before it starts; the system under load cannot know it.
+ * Turns of one program, drawn before it starts. The system under load does not receive them in advance.
  *
- * @param turns its calls in their order
- * @param budgetTokens its budget
+ * @param turns turns in the order in which they are sent
+ * @param budgetTokens token budget of the program
  */
 record ProgramPlan(List<Turn> turns, long budgetTokens) {
 
     /**
-     * One call.
+     * One chat call with the tool pause and the sub-agents that follow it.
      *
-     * @param message what the caller says
-     * @param pauseMillis tool pause after the answer
-     * @param subAgents programs that run after the answer and before the next turn
+     * @param message text of the user message
+     * @param pauseMillis time between the answer and the next turn, in which the caller runs a tool
+     * @param subAgents child programs that run one after the other between the answer and the pause
      */
     record Turn(String message, long pauseMillis, List<ProgramPlan> subAgents) {}
 
--- a/app/src/main/java/org/quetzalshunt/app/load/ProgramRun.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/ProgramRun.java
@@ -10,9 +10,9 @@
 import java.util.function.IntConsumer;
 import org.quetzalshunt.wire.json.Json;
 
-/** One program under way: made, its turns one after the other with their sub-agents and pauses, then deleted. */
+/** Runs one program: creates it, runs its turns with their sub-agents and tool pauses in order, then deletes it. */
 final class ProgramRun {
-    private static final int MAXIMUM_TRIES = 6;
+    private static final int MAXIMUM_ATTEMPTS = 6;
     private static final long MICROS_PER_MILLI = 1_000;
 
     private final LoadContext context;
@@ -21,7 +21,7 @@
     private final String name;
     private final ProgramPlan program;
     private final Optional<String> parent;
-    private final Consumer<ProgramEnd> whenEnded;
+    private final Consumer<ProgramEnd> onEnd;
     private final ArrayNode history = Json.array();
     private String id = "";
     private int turn;
@@ -33,47 +33,47 @@
             String name,
             ProgramPlan program,
             Optional<String> parent,
-            Consumer<ProgramEnd> whenEnded) {
+            Consumer<ProgramEnd> onEnd) {
         this.context = context;
         this.account = account;
         this.result = result;
         this.name = name;
         this.program = program;
         this.parent = parent;
-        this.whenEnded = whenEnded;
+        this.onEnd = onEnd;
     }
 
-    /** A program of an account; {@code name} is unlike that of any other program of any run. */
+    /** Creates the run of a top-level program; {@code name} must be globally unique, as idempotency keys use it. */
     static ProgramRun create(
             LoadContext context,
             String account,
             AccountResult result,
             String name,
             ProgramPlan program,
-            Consumer<ProgramEnd> whenEnded) {
-        return new ProgramRun(context, account, result, name, program, Optional.empty(), whenEnded);
+            Consumer<ProgramEnd> onEnd) {
+        return new ProgramRun(context, account, result, name, program, Optional.empty(), onEnd);
     }
 
     void start() {
-        make(1);
+        createProgram(1);
     }
 
-    private void make(int attempt) {
+    private void createProgram(int attempt) {
         ObjectNode body = Json.object();
         parent.ifPresentOrElse(
                 parentId -> body.put("parent", parentId), () -> body.put("budgetTokens", program.budgetTokens()));
-        context.connection()
+        context.client()
                 .send(
                         "POST",
                         "/v1/programs",
                         key(),
                         Map.of("idempotency-key", name + "-make"),
                         body,
-                        WholeCall.create(this::made, failure -> retry(failure, attempt, this::make)));
+                        JsonCall.create(this::onCreated, failure -> retry(failure, attempt, this::createProgram)));
     }
 
-    private void made(JsonNode answer) {
-        id = answer.path("id").asText();
+    private void onCreated(JsonNode response) {
+        id = response.path("id").asText();
         beginTurn(context.clock().micros());
     }
 
@@ -81,10 +81,10 @@
         history.addObject()
                 .put("role", "user")
                 .put("content", program.turns().get(turn).message());
-        call(dueMicros, 1);
+        sendTurn(dueMicros, 1);
     }
 
-    private void call(long dueMicros, int attempt) {
+    private void sendTurn(long dueMicros, int attempt) {
         ObjectNode body = Json.object().put("model", context.plan().service()).put("stream", true);
         body.set("messages", history);
         Map<String, String> headers = Map.of("quetzalshunt-program", id, "idempotency-key", name + "-turn-" + turn);
@@ -92,18 +92,18 @@
                 context.clock(),
                 dueMicros,
                 result,
-                this::answered,
-                failure -> retry(failure, attempt, next -> call(dueMicros, next)));
-        context.connection().send("POST", "/v1/chat/completions", key(), headers, body, call);
+                this::onAnswer,
+                failure -> retry(failure, attempt, nextAttempt -> sendTurn(dueMicros, nextAttempt)));
+        context.client().send("POST", "/v1/chat/completions", key(), headers, body, call);
     }
 
-    private void answered(ChatAnswer answer) {
-        result.answered();
-        if (answer.shortened()) {
-            result.shortenedAnswer();
+    private void onAnswer(ChatAnswer answer) {
+        result.recordTurn();
+        if (answer.isShortened()) {
+            result.recordShortenedAnswer();
         }
-        if (context.plan().checkAnswers() && !answer.belongsTo(history)) {
-            result.wrongAnswer();
+        if (context.plan().checkAnswers() && !answer.matchesStandin(history)) {
+            result.recordWrongAnswer();
         }
         history.addObject().put("role", "assistant").put("content", answer.text());
         runSubAgents(program.turns().get(turn).subAgents(), 0);
@@ -115,14 +115,15 @@
             return;
         }
         String subAgentName = name + "-" + turn + "-" + index;
-        Consumer<ProgramEnd> next = end -> {
+        Consumer<ProgramEnd> onSubAgentEnd = end -> {
             if (end == ProgramEnd.FAILED) {
-                whenEnded.accept(end);
+                onEnd.accept(end);
                 return;
             }
             runSubAgents(subAgents, index + 1);
         };
-        new ProgramRun(context, account, result, subAgentName, subAgents.get(index), Optional.of(id), next).start();
+        new ProgramRun(context, account, result, subAgentName, subAgents.get(index), Optional.of(id), onSubAgentEnd)
+                .start();
     }
 
     private void pause() {
@@ -130,32 +131,32 @@
         turn++;
         if (turn == program.turns().size()) {
             delete();
-            whenEnded.accept(ProgramEnd.FINISHED);
+            onEnd.accept(ProgramEnd.FINISHED);
             return;
         }
         long dueMicros = context.clock().micros() + pauseMillis * MICROS_PER_MILLI;
-        context.connection().after(pauseMillis, () -> beginTurn(dueMicros));
+        context.client().schedule(pauseMillis, () -> beginTurn(dueMicros));
     }
 
-    /** The caller has its answer already; nobody waits for this. */
+    /** Deletes the program. Its end is reported without waiting for the response. */
     private void delete() {
-        context.connection()
+        context.client()
                 .send(
                         "DELETE",
                         "/v1/programs/" + id,
                         key(),
                         Map.of(),
                         Json.object(),
-                        WholeCall.create(ignored -> {}, failure -> result.refused(failure.code())));
+                        JsonCall.create(ignored -> {}, failure -> result.recordRefusal(failure.code())));
     }
 
-    private void retry(CallFailure failure, int attempt, IntConsumer again) {
-        result.refused(failure.code());
-        if (failure.retryAfterMillis().isEmpty() || attempt >= MAXIMUM_TRIES) {
-            whenEnded.accept(ProgramEnd.FAILED);
+    private void retry(CallFailure failure, int attempt, IntConsumer action) {
+        result.recordRefusal(failure.code());
+        if (failure.retryAfterMillis().isEmpty() || attempt >= MAXIMUM_ATTEMPTS) {
+            onEnd.accept(ProgramEnd.FAILED);
             return;
         }
-        context.connection().after(failure.retryAfterMillis().getAsLong(), () -> again.accept(attempt + 1));
+        context.client().schedule(failure.retryAfterMillis().getAsLong(), () -> action.accept(attempt + 1));
     }
 
     private String key() {
--- a/app/src/main/java/org/quetzalshunt/app/load/CallerConnection.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/RoundRobinClient.java
@@ -11,23 +11,23 @@
 import org.quetzalshunt.server.http.HttpResponseListener;
 import org.quetzalshunt.wire.json.Json;
 
-/** Sends calls to the entries in turn, as a balancer would, and waits on the event loop. */
-final class CallerConnection {
+/** Sends calls to the entries round-robin, as a load balancer would, and schedules delayed actions. */
+final class RoundRobinClient {
     private static final long CALL_TIMEOUT_MILLIS = 60_000;
 
     private final EventLoop loop;
     private final HttpClient client;
     private final List<InetSocketAddress> entries;
-    private int sent;
+    private int sentCalls;
 
-    private CallerConnection(EventLoop loop, List<InetSocketAddress> entries) {
+    private RoundRobinClient(EventLoop loop, List<InetSocketAddress> entries) {
         this.loop = loop;
         this.client = HttpClient.create(loop);
         this.entries = entries;
     }
 
-    static CallerConnection create(EventLoop loop, List<InetSocketAddress> entries) {
-        return new CallerConnection(loop, entries);
+    static RoundRobinClient create(EventLoop loop, List<InetSocketAddress> entries) {
+        return new RoundRobinClient(loop, entries);
     }
 
     void send(
@@ -40,11 +40,11 @@
         Map<String, String> headers = new HashMap<>(extraHeaders);
         headers.put("authorization", "Bearer " + key);
         headers.put("content-type", "application/json");
-        InetSocketAddress entry = entries.get(sent++ % entries.size());
+        InetSocketAddress entry = entries.get(sentCalls++ % entries.size());
         client.send(entry, method, path, headers, Json.bytes(body), CALL_TIMEOUT_MILLIS, listener);
     }
 
-    void after(long millis, Runnable action) {
+    void schedule(long millis, Runnable action) {
         loop.schedule(action, millis, TimeUnit.MILLISECONDS);
     }
 
--- a/app/src/main/java/org/quetzalshunt/app/load/SseReader.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/SseReader.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** Splits a body that comes in parts into the data of its server-sent events (WHATWG HTML, section 9.2). */
+/** Extracts the data of server-sent events from a body received in parts (WHATWG HTML, section 9.2). */
 final class SseReader {
     private static final String DATA = "data: ";
 
--- a/app/src/main/java/org/quetzalshunt/app/load/package-info.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Load and experiment tool. Programs arrive at times drawn ahead, whatever the system does (an open loop), and every
- * latency counts from the time at which its step was due, so that a stall shows in all that it delayed: no coordinated
- * omission. It speaks the callers' HTTP API, to loopback addresses only.
+ * Open-loop load generator. Arrival times of programs are drawn before the run and do not depend on the system's
+ * answers. Each latency is measured from the time at which its step was due, so that a stall counts in every step that
+ * it delays (no coordinated omission). Calls use the public HTTP API, on loopback addresses only.
  */
 package org.quetzalshunt.app.load;
--- a/app/src/test/java/org/quetzalshunt/app/load/LoadRunTest.java
+++ b/app/src/test/java/org/quetzalshunt/app/load/LoadRunTest.java
@@ -30,7 +30,7 @@
             new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8);
 
     @Test
-    void everyProgramFinishesWithWholeAnswersOnAnIdleDeployment() {
+    void everyProgramFinishesWithCorrectAnswersOnIdleDeployment() {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         DeploymentPlan quick =
                 DeploymentPlan.demo().withEngine(EngineSettings.defaults().withBatch(BatchSettings.quick()));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void heavyAccountSendsItsShareAndTheSameSeedDrawsTheSame() {
+    void heavyAccountHasItsShareAndEqualSeedsDrawEqualArrivals() {
         LoadPlan plan = plan(List.of(), Map.of("a", "", "b", "", "c", ""), 500);
         List<Arrival> arrivals = Arrival.draw(plan);
         assertThat(arrivals).isEqualTo(Arrival.draw(plan));
@@ -64,7 +64,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"192.0.2.1:80", "10.0.0.1:8080", "loopback"})
-    void onlyLoopbackAddressesAreTaken(String entry) {
+    void entryThatIsNoLoopbackAddressIsRejected(String entry) {
         CommandLine line = new CommandLine(new LoadCommand())
                 .setErr(new java.io.PrintWriter(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8));
         assertThat(line.execute("--entry", entry, "--key", "a=k", "--service", "s"))
@@ -73,7 +73,7 @@
 
     private static LoadPlan plan(List<InetSocketAddress> entries, Map<String, String> keys, int seconds) {
         String heavy = keys.keySet().stream().sorted().findFirst().orElseThrow();
-        LoadShape shape = LoadShape.named("kite-readers").orElseThrow();
+        LoadShape shape = LoadShape.byName("kite-readers").orElseThrow();
         return new LoadPlan(entries, Deployment.CHAT_SERVICE, keys, shape, seconds, 5, 10_000, heavy, 5, 20, 7, true);
     }
 }
