--- a/app/src/main/java/org/quetzalshunt/app/demo/DemoCaller.java
+++ b/app/src/main/java/org/quetzalshunt/app/demo/DemoCaller.java
@@ -8,12 +8,12 @@
 import org.quetzalshunt.app.deployment.ApiClient;
 import org.quetzalshunt.core.result.ResultCode;
 
-/** A caller that does what a careful one does: sends again under the same idempotency key, over another entry. */
+/** Caller that retries failed calls at the next entry under the same idempotency key. */
 final class DemoCaller {
-    private static final int MAXIMUM_TRIES = 60;
-    private static final long PAUSE_MILLIS = 250;
+    private static final int MAXIMUM_ATTEMPTS = 60;
+    private static final long RETRY_DELAY_MILLIS = 250;
 
-    /** Refusals of which sending again is no use. */
+    /** Codes of errors that a retry cannot resolve. */
     private static final Set<Integer> FINAL_CODES = Set.of(
             ResultCode.BUDGET_EXHAUSTED.number(),
             ResultCode.UNKNOWN_KEY.number(),
@@ -26,42 +26,43 @@
     private final Supplier<List<String>> entryUrls;
     private final String key;
     private final DemoTally tally;
-    private int next;
+    private int nextEntry;
 
     DemoCaller(Supplier<List<String>> entryUrls, String key, DemoTally tally, int firstEntry) {
         this.entryUrls = entryUrls;
         this.key = key;
         this.tally = tally;
-        this.next = firstEntry;
+        this.nextEntry = firstEntry;
     }
 
-    /** Sends until there is an answer, or a refusal that is final. The last answer is given back. */
-    ApiClient.Response send(String method, String path, String idempotencyKey, Map<String, String> extra, byte[] body) {
-        Map<String, String> headers = new HashMap<>(extra);
+    /** Sends a call until it succeeds, fails with a final code or runs out of attempts; returns the last response. */
+    ApiClient.Response send(
+            String method, String path, String idempotencyKey, Map<String, String> extraHeaders, byte[] body) {
+        Map<String, String> headers = new HashMap<>(extraHeaders);
         headers.put("authorization", "Bearer " + key);
         headers.put("content-type", "application/json");
         headers.put("idempotency-key", idempotencyKey);
-        ApiClient.Response answer = once(method, path, headers, body);
-        for (int tries = 1; tries < MAXIMUM_TRIES && isWorthAnother(answer); tries++) {
-            tally.resent();
-            ApiClient.pause(PAUSE_MILLIS);
-            answer = once(method, path, headers, body);
+        ApiClient.Response response = sendOnce(method, path, headers, body);
+        for (int attempt = 1; attempt < MAXIMUM_ATTEMPTS && isRetryable(response); attempt++) {
+            tally.recordResend();
+            ApiClient.pause(RETRY_DELAY_MILLIS);
+            response = sendOnce(method, path, headers, body);
         }
-        return answer;
+        return response;
     }
 
-    private ApiClient.Response once(String method, String path, Map<String, String> headers, byte[] body) {
+    private ApiClient.Response sendOnce(String method, String path, Map<String, String> headers, byte[] body) {
         List<String> urls = entryUrls.get();
-        String url = urls.get(Math.floorMod(next++, urls.size()));
-        ApiClient.Response answer = client.send(method, url + path, headers, body);
-        if (answer.code() >= 0) {
-            tally.refused(answer.code());
+        String url = urls.get(Math.floorMod(nextEntry++, urls.size()));
+        ApiClient.Response response = client.send(method, url + path, headers, body);
+        if (response.code() >= 0) {
+            tally.recordRefusal(response.code());
         }
-        return answer;
+        return response;
     }
 
-    private static boolean isWorthAnother(ApiClient.Response answer) {
-        boolean refused = answer.status() == 0 || answer.code() >= 0;
-        return refused && !FINAL_CODES.contains(answer.code());
+    private static boolean isRetryable(ApiClient.Response response) {
+        boolean isFailed = response.status() == 0 || response.code() >= 0;
+        return isFailed && !FINAL_CODES.contains(response.code());
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/demo/DemoCommand.java
+++ b/app/src/main/java/org/quetzalshunt/app/demo/DemoCommand.java
@@ -13,16 +13,16 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code quetzalshunt demo}: everything on loopback, with failures, and a table of what happened. */
+/** {@code quetzalshunt demo}: runs a deployment on loopback, injects failures and prints a table of the results. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
         description =
-                "Starts a whole deployment on loopback, runs agent programs through failures, prints what happened.")
+                "Starts a whole deployment on loopback, runs agent programs with injected failures, prints results.")
 public final class DemoCommand implements Callable<Integer> {
-    private static final int EXIT_PROMISE_BROKEN = 1;
+    private static final int EXIT_GUARANTEE_VIOLATED = 1;
     private static final long MILLIS_PER_SECOND = 1_000;
-    private static final int LONGEST_SERVE_SECONDS = 3_600;
+    private static final int MAXIMUM_SERVE_SECONDS = 3_600;
 
     @Spec
     private CommandSpec spec;
@@ -30,32 +30,35 @@
     @Option(names = "--json", description = "print the result as one JSON object on the last line")
     private boolean json;
 
-    @Option(names = "--serve", paramLabel = "SECONDS", description = "only start everything, and stop after this time")
+    @Option(
+            names = "--serve",
+            paramLabel = "SECONDS",
+            description = "only start the deployment, and stop it after this time")
     private int serveSeconds;
 
-    /** Made by picocli. */
+    /** Instantiated by picocli. */
     public DemoCommand() {}
 
     @Override
     public Integer call() {
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter error = spec.commandLine().getErr();
-        long started = System.currentTimeMillis();
-        progress(error, "starting 3 entries, 4 engines and 2 plain services on loopback");
+        long startMillis = System.currentTimeMillis();
+        printProgress(error, "starting 3 entries, 4 engines and 2 plain services on loopback");
         try (Deployment deployment = Deployment.start(DeploymentPlan.demo())) {
             if (serveSeconds > 0) {
                 return serve(deployment, out);
             }
-            progress(error, "ready; running 24 programs");
-            DemoTally tally = new DemoRun(deployment, line -> progress(error, line)).run();
-            out.println("quetzalshunt demo, " + (System.currentTimeMillis() - started) / MILLIS_PER_SECOND + " s");
+            printProgress(error, "ready; running 24 programs");
+            DemoTally tally = new DemoRun(deployment, line -> printProgress(error, line)).run();
+            out.println("quetzalshunt demo, " + (System.currentTimeMillis() - startMillis) / MILLIS_PER_SECOND + " s");
             out.print(tally.table());
-            out.println(tally.allHeld() ? "every promise held" : "A PROMISE WAS BROKEN");
+            out.println(tally.allGuaranteesHeld() ? "all guarantees held" : "A GUARANTEE WAS VIOLATED");
             if (json) {
-                out.println(tally.json());
+                out.println(tally.toJson());
             }
             out.flush();
-            return tally.allHeld() ? 0 : EXIT_PROMISE_BROKEN;
+            return tally.allGuaranteesHeld() ? 0 : EXIT_GUARANTEE_VIOLATED;
         }
     }
 
@@ -76,11 +79,11 @@
         node.put("pid", ProcessHandle.current().pid());
         out.println(node);
         out.flush();
-        ApiClient.pause(Math.min(serveSeconds, LONGEST_SERVE_SECONDS) * MILLIS_PER_SECOND);
+        ApiClient.pause(Math.min(serveSeconds, MAXIMUM_SERVE_SECONDS) * MILLIS_PER_SECOND);
         return 0;
     }
 
-    private static void progress(PrintWriter error, String line) {
+    private static void printProgress(PrintWriter error, String line) {
         error.println("demo: " + line);
         error.flush();
     }
--- a/app/src/main/java/org/quetzalshunt/app/demo/DemoProgram.java
+++ b/app/src/main/java/org/quetzalshunt/app/demo/DemoProgram.java
@@ -13,13 +13,13 @@
 import org.quetzalshunt.standin.engine.StandinAnswer;
 import org.quetzalshunt.wire.json.Json;
 
-/** One agent program of the demo: turns with tool pauses, a sub-agent, and an order that may be placed only once. */
+/** Runs one agent program: turns with tool pauses, a sub-agent, and an order that must be placed only once. */
 final class DemoProgram implements Runnable {
     private static final int TURNS = 4;
-    private static final int BUDGET = 12_000;
-    private static final int SMALL_BUDGET = 260;
-    private static final int MAXIMUM_TOKENS = 24;
-    private static final int LONGEST_PAUSE_MILLIS = 900;
+    private static final int BUDGET_TOKENS = 12_000;
+    private static final int SMALL_BUDGET_TOKENS = 260;
+    private static final int MAXIMUM_ANSWER_TOKENS = 24;
+    private static final int MAXIMUM_PAUSE_MILLIS = 900;
     private static final int SUB_AGENT_EVERY = 3;
     private static final int SMALL_BUDGET_EVERY = 8;
 
@@ -35,61 +35,61 @@
         this.random = new SplittableRandom(number);
     }
 
-    /** Whether this program is one whose budget runs out on the way, which is its right end. */
+    /** Whether this program has a small budget, so that the expected end is that the budget is exhausted. */
     private boolean runsOutOfBudget() {
         return number % SMALL_BUDGET_EVERY == SMALL_BUDGET_EVERY - 1;
     }
 
     @Override
     public void run() {
-        tally.program();
-        Optional<String> id = create(Optional.empty(), runsOutOfBudget() ? SMALL_BUDGET : BUDGET);
-        if (id.isEmpty() || !turns(id.get(), TURNS)) {
-            tally.lost();
+        tally.recordProgram();
+        Optional<String> id = create(Optional.empty(), runsOutOfBudget() ? SMALL_BUDGET_TOKENS : BUDGET_TOKENS);
+        if (id.isEmpty() || !runTurns(id.get(), TURNS)) {
+            tally.recordLost();
             return;
         }
-        if (!runsOutOfBudget() && !order()) {
-            tally.lost();
+        if (!runsOutOfBudget() && !placeOrder()) {
+            tally.recordLost();
             return;
         }
-        end(id.get());
-        tally.finished();
+        endProgram(id.get());
+        tally.recordFinished();
     }
 
     private Optional<String> create(Optional<String> parent, int budget) {
         ObjectNode body = Json.object().put("budgetTokens", budget);
         parent.ifPresent(value -> body.put("parent", value));
         String key = "create-" + number + parent.map(value -> "-sub").orElse("");
-        ApiClient.Response made = caller.send("POST", "/v1/programs", key, Map.of(), Json.bytes(body));
-        return made.status() == 201 ? Optional.of(made.json().path("id").asText()) : Optional.empty();
+        ApiClient.Response created = caller.send("POST", "/v1/programs", key, Map.of(), Json.bytes(body));
+        return created.status() == 201 ? Optional.of(created.json().path("id").asText()) : Optional.empty();
     }
 
-    private boolean turns(String id, int count) {
+    private boolean runTurns(String id, int count) {
         ArrayNode history = Json.array();
         for (int turn = 1; turn <= count; turn++) {
             history.addObject().put("role", "user").put("content", "program " + number + " course " + turn);
-            ApiClient.Response answer = turn(id, turn, history);
-            if (answer.code() == ResultCode.BUDGET_EXHAUSTED.number()) {
+            ApiClient.Response response = sendTurn(id, turn, history);
+            if (response.code() == ResultCode.BUDGET_EXHAUSTED.number()) {
                 return runsOutOfBudget();
             }
-            if (answer.status() != 200) {
+            if (response.status() != 200) {
                 return false;
             }
-            JsonNode message = answer.json().path("choices").path(0).path("message");
-            check(answer, message, turn, history);
+            JsonNode message = response.json().path("choices").path(0).path("message");
+            checkAnswer(response, message, turn, history);
             history.add(message);
-            ApiClient.pause(random.nextInt(LONGEST_PAUSE_MILLIS));
-            if (turn == 2 && number % SUB_AGENT_EVERY == 0 && !subAgent(id)) {
+            ApiClient.pause(random.nextInt(MAXIMUM_PAUSE_MILLIS));
+            if (turn == 2 && number % SUB_AGENT_EVERY == 0 && !runSubAgent(id)) {
                 return false;
             }
         }
         return true;
     }
 
-    private ApiClient.Response turn(String id, int turn, ArrayNode history) {
+    private ApiClient.Response sendTurn(String id, int turn, ArrayNode history) {
         ObjectNode body = Json.object();
         body.put("model", Deployment.CHAT_SERVICE);
-        body.put("max_tokens", MAXIMUM_TOKENS);
+        body.put("max_tokens", MAXIMUM_ANSWER_TOKENS);
         body.set("messages", history);
         Map<String, String> headers = new HashMap<>();
         headers.put("quetzalshunt-program", id);
@@ -97,44 +97,49 @@
         return caller.send("POST", "/v1/chat/completions", "turn-" + id + "-" + turn, headers, Json.bytes(body));
     }
 
-    /** The stand-in's answer is a function of all messages, so a mixed, cut or wrong history shows. */
-    private void check(ApiClient.Response answer, JsonNode message, int turn, ArrayNode history) {
-        tally.turn();
-        int bound = answer.json().path("usage").path("completion_tokens").asInt(0);
-        String expected = StandinAnswer.to(history, runsOutOfBudget() ? bound : MAXIMUM_TOKENS)
+    /**
+     * Compares an answer with the expected one. The stand-in engine computes its answer from all messages, so a history
+     * that is incomplete or mixed with another program's gives a different answer.
+     */
+    private void checkAnswer(ApiClient.Response response, JsonNode message, int turn, ArrayNode history) {
+        tally.recordTurn();
+        int answerTokens =
+                response.json().path("usage").path("completion_tokens").asInt(0);
+        String expected = StandinAnswer.to(history, runsOutOfBudget() ? answerTokens : MAXIMUM_ANSWER_TOKENS)
                 .text();
         if (!message.path("content").asText().equals(expected)) {
-            tally.cut();
+            tally.recordCut();
         }
-        boolean otherTurn = answer.header("quetzalshunt-turn")
+        boolean isOtherTurn = response.header("quetzalshunt-turn")
                 .filter(value -> !value.equals(Integer.toString(turn)))
                 .isPresent();
-        if (otherTurn) {
-            tally.outOfOrder();
+        if (isOtherTurn) {
+            tally.recordOutOfOrder();
         }
     }
 
-    private boolean subAgent(String parent) {
-        Optional<String> child = create(Optional.of(parent), BUDGET / 4);
-        return child.isPresent() && turns(child.get(), 1);
+    private boolean runSubAgent(String parent) {
+        Optional<String> child = create(Optional.of(parent), BUDGET_TOKENS / 4);
+        return child.isPresent() && runTurns(child.get(), 1);
     }
 
-    private boolean order() {
+    private boolean placeOrder() {
         ObjectNode body = Json.object().put("stones", 10 + number);
-        ApiClient.Response answer = caller.send(
+        ApiClient.Response response = caller.send(
                 "POST",
                 "/v1/services/" + Deployment.PLAIN_SERVICE + "/orders",
                 "order-" + number,
                 Map.of(),
                 Json.bytes(body));
-        return answer.status() == 200 || answer.code() == ResultCode.OUTCOME_UNKNOWN.number();
+        return response.status() == 200 || response.code() == ResultCode.OUTCOME_UNKNOWN.number();
     }
 
-    private void end(String id) {
+    private void endProgram(String id) {
         ApiClient.Response ended = caller.send("DELETE", "/v1/programs/" + id, "end-" + id, Map.of(), new byte[0]);
-        JsonNode view = ended.json();
-        if (view.path("spentTokens").asLong() > view.path("budgetTokens").asLong()) {
-            tally.overBudget();
+        JsonNode programView = ended.json();
+        if (programView.path("spentTokens").asLong()
+                > programView.path("budgetTokens").asLong()) {
+            tally.recordOverBudget();
         }
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/demo/DemoRun.java
+++ b/app/src/main/java/org/quetzalshunt/app/demo/DemoRun.java
@@ -14,14 +14,14 @@
 import org.quetzalshunt.app.deployment.Deployment;
 import org.quetzalshunt.wire.json.Json;
 
-/** Runs the programs of the demo and lets parts of the deployment fail meanwhile. */
+/** Runs the programs of the demo and injects failures into the deployment while they run. */
 final class DemoRun {
     private static final int PROGRAMS = 24;
-    private static final long LONGEST_SECONDS = 60;
-    private static final long STEP_MILLIS = 1_200;
-    private static final long WITHDRAWN_WITHIN_MILLIS = 4_000;
-    /** The lease of ten seconds that covers programs whose owner was killed, and a sweep. */
-    private static final long FREED_WITHIN_MILLIS = 12_000;
+    private static final long MAXIMUM_RUN_SECONDS = 60;
+    private static final long STEP_INTERVAL_MILLIS = 1_200;
+    private static final long WITHDRAWAL_BOUND_MILLIS = 4_000;
+    /** Covers the 10 s cache lease of programs whose owner was killed and the sidecar's next check of leases. */
+    private static final long CACHE_RELEASE_BOUND_MILLIS = 12_000;
 
     private final Deployment deployment;
     private final Consumer<String> progress;
@@ -33,7 +33,7 @@
         this.progress = progress;
     }
 
-    /** Runs everything; returns what was seen. */
+    /** Runs all programs, failures and checks; returns the counts. */
     DemoTally run() {
         ExecutorService callers = Executors.newFixedThreadPool(PROGRAMS);
         for (int number = 0; number < PROGRAMS; number++) {
@@ -42,22 +42,22 @@
                     new DemoCaller(deployment::entryUrls, deployment.keys().callerKey(account), tally, number);
             callers.execute(new DemoProgram(number, caller, tally));
         }
-        fail();
+        injectFailures();
         callers.shutdown();
         try {
-            if (!callers.awaitTermination(LONGEST_SECONDS, TimeUnit.SECONDS)) {
+            if (!callers.awaitTermination(MAXIMUM_RUN_SECONDS, TimeUnit.SECONDS)) {
                 callers.shutdownNow();
             }
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
         progress.accept("programs done; counting runs at the endpoints");
-        countDoubles();
-        countHeld();
+        countRepeatedRuns();
+        countHeldCacheEntries();
         return tally;
     }
 
-    private void fail() {
+    private void injectFailures() {
         step("killing entry-1", () -> deployment.killEntry("entry-1"));
         deployment.deregisterVm("entry-1");
         step("killing engine-0", () -> deployment.killEngine("engine-0"));
@@ -66,15 +66,15 @@
         checkWithdrawn();
     }
 
-    private void step(String what, Runnable action) {
-        ApiClient.pause(STEP_MILLIS);
-        progress.accept(what);
+    private void step(String description, Runnable action) {
+        ApiClient.pause(STEP_INTERVAL_MILLIS);
+        progress.accept(description);
         action.run();
     }
 
-    /** A withdrawn key must be refused at every entry within seconds. */
+    /** Checks that every entry refuses a withdrawn key after {@link #WITHDRAWAL_BOUND_MILLIS}. */
     private void checkWithdrawn() {
-        ApiClient.pause(WITHDRAWN_WITHIN_MILLIS);
+        ApiClient.pause(WITHDRAWAL_BOUND_MILLIS);
         String key = deployment.keys().callerKey("karatu");
         byte[] body = Json.bytes(Json.object()
                 .put("model", Deployment.CHAT_SERVICE)
@@ -82,48 +82,51 @@
                         "messages",
                         Json.array().add(Json.object().put("role", "user").put("content", "hello"))));
         for (String url : deployment.entryUrls()) {
-            ApiClient.Response answer =
+            ApiClient.Response response =
                     client.send("POST", url + "/v1/chat/completions", Map.of("authorization", "Bearer " + key), body);
-            if (answer.status() == 200) {
-                tally.acceptedAfterWithdrawal();
+            if (response.status() == 200) {
+                tally.recordAcceptedAfterWithdrawal();
             } else {
-                tally.refused(answer.code());
+                tally.recordRefusal(response.code());
             }
         }
     }
 
-    private void countDoubles() {
+    private void countRepeatedRuns() {
         Map<String, Integer> runs = new HashMap<>();
         deployment.standinUrls().forEach((name, url) -> {
             if (!name.startsWith(Deployment.PLAIN_SERVICE)) {
                 return;
             }
-            JsonNode answer = client.send("GET", url + "/standin/runs", Map.of(), new byte[0])
+            JsonNode response = client.send("GET", url + "/standin/runs", Map.of(), new byte[0])
                     .json();
-            answer.path("runs")
+            response.path("runs")
                     .forEach(run -> runs.merge(run.path("idempotencyKey").asText(), 1, Integer::sum));
         });
-        tally.doubled(runs.values().stream().mapToInt(count -> count - 1).sum());
+        tally.recordDoubled(runs.values().stream().mapToInt(count -> count - 1).sum());
     }
 
-    /** Every program has ended, so no engine that still runs may hold memory for one after a short while. */
-    private void countHeld() {
-        long deadline = System.currentTimeMillis() + FREED_WITHIN_MILLIS;
-        List<String> held = held();
+    /**
+     * Counts the cache entries that running engines still hold for programs. All programs have ended by now, so the
+     * engines must release the entries within {@link #CACHE_RELEASE_BOUND_MILLIS}.
+     */
+    private void countHeldCacheEntries() {
+        long deadline = System.currentTimeMillis() + CACHE_RELEASE_BOUND_MILLIS;
+        List<String> held = heldCacheKeys();
         while (!held.isEmpty() && System.currentTimeMillis() < deadline) {
             ApiClient.pause(200);
-            held = held();
+            held = heldCacheKeys();
         }
-        tally.heldAfterEnd(held.size());
+        tally.recordHeldAfterEnd(held.size());
     }
 
-    private List<String> held() {
+    private List<String> heldCacheKeys() {
         List<String> held = new ArrayList<>();
         deployment.standinUrls().forEach((name, url) -> {
             if (name.startsWith("engine")) {
-                JsonNode answer = client.send("GET", url + "/engine/cache", Map.of(), new byte[0])
+                JsonNode response = client.send("GET", url + "/engine/cache", Map.of(), new byte[0])
                         .json();
-                answer.path("entries").forEach(entry -> {
+                response.path("entries").forEach(entry -> {
                     if (entry.path("held").asBoolean()) {
                         held.add(entry.path("key").asText());
                     }
--- a/app/src/main/java/org/quetzalshunt/app/demo/DemoTally.java
+++ b/app/src/main/java/org/quetzalshunt/app/demo/DemoTally.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import org.quetzalshunt.wire.json.Json;
 
-/** What the demo's callers saw, counted; used by many threads. */
+/** Thread-safe counts of the outcomes that the demo observed. */
 final class DemoTally {
     private int programs;
     private int finished;
@@ -20,62 +20,62 @@
     private int resent;
     private final Map<String, Integer> refusals = new TreeMap<>();
 
-    synchronized void program() {
+    synchronized void recordProgram() {
         programs++;
     }
 
-    synchronized void finished() {
+    synchronized void recordFinished() {
         finished++;
     }
 
-    synchronized void turn() {
+    synchronized void recordTurn() {
         turns++;
     }
 
-    synchronized void lost() {
+    synchronized void recordLost() {
         lost++;
     }
 
-    synchronized void doubled(int count) {
+    synchronized void recordDoubled(int count) {
         doubled += count;
     }
 
-    synchronized void cut() {
+    synchronized void recordCut() {
         cut++;
     }
 
-    synchronized void overBudget() {
+    synchronized void recordOverBudget() {
         overBudget++;
     }
 
-    synchronized void outOfOrder() {
+    synchronized void recordOutOfOrder() {
         outOfOrder++;
     }
 
-    synchronized void acceptedAfterWithdrawal() {
+    synchronized void recordAcceptedAfterWithdrawal() {
         acceptedAfterWithdrawal++;
     }
 
-    synchronized void heldAfterEnd(int count) {
+    synchronized void recordHeldAfterEnd(int count) {
         heldAfterEnd += count;
     }
 
-    synchronized void resent() {
+    synchronized void recordResend() {
         resent++;
     }
 
-    synchronized void refused(int code) {
+    synchronized void recordRefusal(int code) {
         refusals.merge(Integer.toString(code), 1, Integer::sum);
     }
 
-    /** Whether every promise held, and every program came to its end. */
-    synchronized boolean allHeld() {
+    /** Whether every program finished and no guarantee was violated. */
+    synchronized boolean allGuaranteesHeld() {
         return programs > 0
                 && finished == programs
                 && lost + doubled + cut + overBudget + outOfOrder + acceptedAfterWithdrawal + heldAfterEnd == 0;
     }
 
-    synchronized ObjectNode json() {
+    synchronized ObjectNode toJson() {
         ObjectNode node = Json.object();
         node.put("programs", programs);
         node.put("finished", finished);
@@ -97,10 +97,10 @@
         StringBuilder text = new StringBuilder();
         row(text, "programs", programs, "finished", finished);
         row(text, "turns", turns, "sent again by callers", resent);
-        row(text, "lost programs", lost, "doubled calls", doubled);
+        row(text, "lost programs", lost, "doubled runs of a call", doubled);
         row(text, "cut or mixed answers", cut, "turns out of order", outOfOrder);
         row(text, "programs over budget", overBudget, "accepted after withdrawal", acceptedAfterWithdrawal);
-        row(text, "engine memory held", heldAfterEnd, "refusal codes", refusals.size());
+        row(text, "engine cache still held", heldAfterEnd, "refusal codes", refusals.size());
         refusals.forEach((code, count) -> text.append(String.format("  refused with code %-6s %6d%n", code, count)));
         return text.toString();
     }
--- a/app/src/main/java/org/quetzalshunt/app/demo/package-info.java
+++ b/app/src/main/java/org/quetzalshunt/app/demo/package-info.java
@@ -1,2 +1,2 @@
-/** {@code quetzalshunt demo}: a deployment on loopback that runs real programs while parts of it fail. */
+/** {@code quetzalshunt demo}: runs agent programs on a loopback deployment while failures are injected. */
 package org.quetzalshunt.app.demo;
