--- a/app/src/main/java/org/quetzalshunt/app/bench/BenchCommand.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/BenchCommand.java
@@ -4,7 +4,7 @@
 import org.quetzalshunt.app.bench.limits.LimitsCommand;
 import picocli.CommandLine.Command;
 
-/** Groups the measurements. */
+/** Parent command of the benchmarks. */
 @Command(
         name = "bench",
         mixinStandardHelpOptions = true,
--- a/app/src/main/java/org/quetzalshunt/app/bench/DecisionsCommand.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/DecisionsCommand.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.Callable;
 import java.util.function.ToDoubleFunction;
 import org.quetzalshunt.app.bench.play.Measures;
-import org.quetzalshunt.app.bench.play.Play;
-import org.quetzalshunt.app.bench.play.PlayTable;
-import org.quetzalshunt.app.bench.play.Plays;
+import org.quetzalshunt.app.bench.play.Scenario;
+import org.quetzalshunt.app.bench.play.ScenarioResults;
+import org.quetzalshunt.app.bench.play.Scenarios;
 import org.quetzalshunt.app.bench.play.Target;
 import org.quetzalshunt.app.bench.play.Targets;
 import org.quetzalshunt.wire.json.Json;
@@ -24,18 +24,18 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Measures the decisions under load against plain baselines, in virtual time. */
+/** Compares the standard scheduling policy with baseline policies under load scenarios in virtual time. */
 @Command(
         name = "decisions",
         mixinStandardHelpOptions = true,
-        description = "Plays patterns of load in virtual time under our policy and plain baselines.")
+        description = "Runs load scenarios in virtual time under the standard policy and plain baselines.")
 public final class DecisionsCommand implements Callable<Integer> {
     private static final Map<String, ToDoubleFunction<Measures>> COLUMNS = columns();
 
-    @Option(names = "--play", description = "Name of one play; all when left out.")
+    @Option(names = "--play", description = "Name of one scenario to run (default: all).")
     private String play;
 
-    @Option(names = "--seed", defaultValue = "1", description = "First of the seeds (default: ${DEFAULT-VALUE}).")
+    @Option(names = "--seed", defaultValue = "1", description = "First seed (default: ${DEFAULT-VALUE}).")
     private long seed;
 
     @Option(names = "--seeds", defaultValue = "5", description = "Number of seeds (default: ${DEFAULT-VALUE}).")
@@ -66,10 +66,10 @@
 
     @Override
     public Integer call() {
-        List<PlayTable> tables = new ArrayList<>();
+        List<ScenarioResults> tables = new ArrayList<>();
         List<Target> targets = new ArrayList<>();
-        for (Play chosen : chosenPlays()) {
-            PlayTable table = PlayTable.measure(chosen, PlayTable.policies(), seedList());
+        for (Scenario selected : selectedScenarios()) {
+            ScenarioResults table = ScenarioResults.measure(selected, ScenarioResults.policies(), seedList());
             tables.add(table);
             targets.addAll(Targets.of(table, seedList()));
             if (!json) {
@@ -87,15 +87,15 @@
         return 0;
     }
 
-    private List<Play> chosenPlays() {
+    private List<Scenario> selectedScenarios() {
         if (play == null) {
-            return Plays.all();
+            return Scenarios.all();
         }
-        return List.of(Plays.find(play)
+        return List.of(Scenarios.find(play)
                 .orElseThrow(() -> new ParameterException(
                         spec.commandLine(),
-                        "no play " + play + "; there are "
-                                + Plays.all().stream().map(Play::name).toList())));
+                        "--play: unknown scenario " + play + "; available scenarios: "
+                                + Scenarios.all().stream().map(Scenario::name).toList())));
     }
 
     private List<Long> seedList() {
@@ -106,19 +106,19 @@
         return list;
     }
 
-    private void print(PlayTable table) {
+    private void print(ScenarioResults table) {
         PrintWriter out = spec.commandLine().getOut();
         out.println();
-        out.println(table.play().name() + ": " + table.play().story() + "; mean (least to most) of " + seeds
-                + " seeds from " + seed);
+        out.println(table.scenario().name() + ": " + table.scenario().description() + "; mean (least to most) of "
+                + seeds + " seeds from " + seed);
         StringBuilder header = new StringBuilder(String.format(Locale.ROOT, "%-14s", "policy"));
         COLUMNS.keySet().forEach(column -> header.append(String.format(Locale.ROOT, "%21s", column)));
         out.println(header);
-        for (String name : table.names()) {
+        for (String name : table.policyNames()) {
             StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%-14s", name));
             COLUMNS.values()
                     .forEach(measure ->
-                            line.append(String.format(Locale.ROOT, "%21s", cell(table.spread(name, measure)))));
+                            line.append(String.format(Locale.ROOT, "%21s", cell(table.statistics(name, measure)))));
             out.println(line);
         }
         out.flush();
@@ -131,7 +131,7 @@
             out.println(String.format(
                     Locale.ROOT,
                     "%-11s %s: %.3f (%s %.2f)",
-                    target.reached() ? "reached" : "NOT REACHED",
+                    target.isReached() ? "reached" : "NOT REACHED",
                     target.name(),
                     target.measured(),
                     target.atMost() ? "at most" : "at least",
@@ -144,15 +144,15 @@
         return String.format(Locale.ROOT, "%.2f (%.2f-%.2f)", spread.getAverage(), spread.getMin(), spread.getMax());
     }
 
-    private static ObjectNode toJson(List<PlayTable> tables, List<Target> targets) {
+    private static ObjectNode toJson(List<ScenarioResults> tables, List<Target> targets) {
         ObjectNode root = Json.object();
-        ArrayNode plays = root.putArray("plays");
-        for (PlayTable table : tables) {
-            ObjectNode node = plays.addObject().put("play", table.play().name());
-            for (String name : table.names()) {
+        ArrayNode scenarios = root.putArray("plays");
+        for (ScenarioResults table : tables) {
+            ObjectNode node = scenarios.addObject().put("play", table.scenario().name());
+            for (String name : table.policyNames()) {
                 ObjectNode policy = node.putObject(name);
                 COLUMNS.forEach((column, measure) -> {
-                    DoubleSummaryStatistics spread = table.spread(name, measure);
+                    DoubleSummaryStatistics spread = table.statistics(name, measure);
                     policy.putObject(column)
                             .put("mean", spread.getAverage())
                             .put("least", spread.getMin())
@@ -167,7 +167,7 @@
                     .put("measured", target.measured())
                     .put("bound", target.bound())
                     .put("atMost", target.atMost())
-                    .put("reached", target.reached());
+                    .put("reached", target.isReached());
         }
         return root;
     }
--- a/app/src/main/java/org/quetzalshunt/app/bench/package-info.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements that run without a cluster, as subcommands of {@code bench}. */
+/** Benchmarks that run without a cluster, as subcommands of {@code bench}. */
 package org.quetzalshunt.app.bench;
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/AccountLoad.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/AccountLoad.java
@@ -1,16 +1,16 @@
 package org.quetzalshunt.app.bench.play;
 
 /**
- * Load of one client account.
+ * Load that one client account offers in a scenario.
  *
- * @param name account
- * @param weight share under contention
- * @param part part of the play's load that it sends at its agreed rate
- * @param factor how many times its agreed rate it sends
+ * @param name account name
+ * @param weight weight of its fair share under contention
+ * @param loadFraction fraction of the scenario's load that the account offers at its agreed rate
+ * @param rateFactor multiple of the agreed rate that the account actually sends; above one, it exceeds its rate
  */
-public record AccountLoad(String name, double weight, double part, double factor) {
-    /** Whether it keeps to its agreed rate, so that a refusal would be wrongful. */
-    boolean withinRate() {
-        return factor <= 1;
+public record AccountLoad(String name, double weight, double loadFraction, double rateFactor) {
+    /** Whether the account stays within its agreed rate, so that refusing its requests would be a scheduling fault. */
+    boolean isWithinRate() {
+        return rateFactor <= 1;
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/Call.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/Call.java
@@ -1,6 +1,6 @@
 package org.quetzalshunt.app.bench.play;
 
-/** One request of a program, from its first offer until its answer or the end of its caller's patience. */
+/** One request of a program, from its first offer until it is answered or the caller abandons the program. */
 final class Call {
     final ProgramRun program;
     final String cacheKey;
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/DecisionCost.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/DecisionCost.java
@@ -12,14 +12,15 @@
 import org.quetzalshunt.core.decision.WorkItem;
 
 /**
- * Time of one decision, from offer to dispatch and end, with so many endpoints and programs. The median over rounds,
- * since a collection of garbage or another process hits single rounds.
+ * Measures the time of one scheduling decision, from offer through dispatch to completion, for a given number
+ * of endpoints and programs. Reports the median over rounds, because garbage collections and other processes disturb
+ * single rounds.
  */
 public final class DecisionCost {
     private static final int ROUNDS = 60;
     private static final int WARM_UP_ROUNDS = 30;
     private static final int DECISIONS_PER_ROUND = 2_000;
-    private static final int SLOTS = 48;
+    private static final int SLOTS_PER_ENDPOINT = 48;
     private static final int ACCOUNTS = 8;
     private static final long PROMPT_TOKENS = 2_000;
     private static final long OUTPUT_TOKENS = 150;
@@ -39,44 +40,55 @@
             String name = "engine-" + endpoint;
             scheduler.endpointReported(
                     0,
-                    new EndpointState(name, "tutor", EngineFleet.dataCentre(endpoint), SLOTS, 0, 0, 0, 0, false, true));
+                    new EndpointState(
+                            name,
+                            "tutor",
+                            SimulatedFleet.dataCentre(endpoint),
+                            SLOTS_PER_ENDPOINT,
+                            0,
+                            0,
+                            0,
+                            0,
+                            false,
+                            true));
         }
     }
 
-    /** Median nanoseconds of one decision. */
-    public static double nanos(int endpoints, int programs, long seed) {
-        return new DecisionCost(endpoints, programs, seed).median();
+    /** Returns the median time of one decision in nanoseconds. */
+    public static double medianNanos(int endpoints, int programs, long seed) {
+        return new DecisionCost(endpoints, programs, seed).measureMedianNanos();
     }
 
-    private double median() {
-        // Half of the programs run and half pause, so that the tables have their full size.
-        decide(programs, programs / 2);
+    private double measureMedianNanos() {
+        // Half of the programs have a running request and half are idle, so that the scheduler's tables reach full
+        // size.
+        runDecisions(programs, programs / 2);
         double[] nanos = new double[ROUNDS];
         for (int round = 0; round < WARM_UP_ROUNDS + ROUNDS; round++) {
-            long start = System.nanoTime();
-            decide(DECISIONS_PER_ROUND, programs / 2);
-            long taken = System.nanoTime() - start;
+            long startNanos = System.nanoTime();
+            runDecisions(DECISIONS_PER_ROUND, programs / 2);
+            long elapsedNanos = System.nanoTime() - startNanos;
             if (round >= WARM_UP_ROUNDS) {
-                nanos[round - WARM_UP_ROUNDS] = (double) taken / DECISIONS_PER_ROUND;
+                nanos[round - WARM_UP_ROUNDS] = (double) elapsedNanos / DECISIONS_PER_ROUND;
             }
         }
         Arrays.sort(nanos);
         return nanos[ROUNDS / 2];
     }
 
-    private void decide(int decisions, int kept) {
+    private void runDecisions(int decisions, int maxRunning) {
         for (int decision = 0; decision < decisions; decision++) {
             nowMillis += decision % 10 == 0 ? 1 : 0;
-            scheduler.offer(nowMillis, item(), 0);
+            scheduler.offer(nowMillis, nextItem(), 0);
             scheduler.expire(nowMillis);
             running.addAll(scheduler.tick(nowMillis));
-            while (running.size() > kept) {
+            while (running.size() > maxRunning) {
                 finishOne();
             }
         }
     }
 
-    private WorkItem item() {
+    private WorkItem nextItem() {
         long id = nextId++;
         int program = random.nextInt(programs);
         String name = "program-" + program;
@@ -97,9 +109,9 @@
     }
 
     private void finishOne() {
-        int place = random.nextInt(running.size());
-        Dispatch ended = running.get(place);
-        running.set(place, running.get(running.size() - 1));
+        int index = random.nextInt(running.size());
+        Dispatch ended = running.get(index);
+        running.set(index, running.get(running.size() - 1));
         running.remove(running.size() - 1);
         scheduler.finished(
                 nowMillis, ended.item().id(), Finish.ok(PROMPT_TOKENS, PROMPT_TOKENS - 100, OUTPUT_TOKENS, 50, 3_050));
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/EngineRequest.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/EngineRequest.java
@@ -1,6 +1,6 @@
 package org.quetzalshunt.app.bench.play;
 
-/** One request inside a fake engine. */
+/** One request in a simulated engine. */
 final class EngineRequest {
     final long id;
     final String cacheKey;
@@ -10,7 +10,7 @@
     final long dispatchedMillis;
     long cachedTokens;
     double promptUnitsLeft;
-    double outputDone;
+    double generatedTokens;
     long firstTokenMillis;
 
     EngineRequest(long id, String cacheKey, int priority, long promptTokens, long outputTokens, long dispatchedMillis) {
@@ -22,15 +22,15 @@
         this.dispatchedMillis = dispatchedMillis;
     }
 
-    boolean decoding() {
+    boolean isDecoding() {
         return promptUnitsLeft <= 0;
     }
 
-    boolean done() {
-        return outputDone >= outputTokens;
+    boolean isComplete() {
+        return generatedTokens >= outputTokens;
     }
 
-    long delivered() {
-        return Math.min(outputTokens, (long) outputDone);
+    long deliveredTokens() {
+        return Math.min(outputTokens, (long) generatedTokens);
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/Fault.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/Fault.java
@@ -1,19 +1,19 @@
 package org.quetzalshunt.app.bench.play;
 
-/** Something that goes wrong with one engine during a play. */
+/** Fault of one engine during a scenario, in virtual time since the start. */
 public sealed interface Fault {
-    /** Number of the engine. */
+    /** Index of the engine. */
     int engine();
 
-    /** When it starts. */
+    /** Start of the fault. */
     long fromMillis();
 
-    /** When it is over. */
+    /** End of the fault, exclusive. */
     long untilMillis();
 
-    /** The engine computes at a part of its speed. */
-    record Slow(int engine, long fromMillis, long untilMillis, double part) implements Fault {}
+    /** The engine runs at a fraction of its normal speed. */
+    record Slowdown(int engine, long fromMillis, long untilMillis, double speedFraction) implements Fault {}
 
-    /** The engine is gone with all that runs in it, and comes back with an empty cache. */
-    record Lost(int engine, long fromMillis, long untilMillis) implements Fault {}
+    /** The engine crashes, losing all its requests, and restarts with an empty cache at the end of the fault. */
+    record Crash(int engine, long fromMillis, long untilMillis) implements Fault {}
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/Measures.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/Measures.java
@@ -3,22 +3,24 @@
 import java.util.Map;
 
 /**
- * What callers got in one run of a play under one policy.
+ * Results of one run of a scenario under one policy, as seen by callers.
  *
- * @param p50Millis program latency without tool pauses, median; an abandoned program counts with its caller's patience
- * @param p95Millis the same, 95th percentile
- * @param p99Millis the same, 99th percentile
- * @param completedP95Millis 95th percentile over programs that completed
- * @param programs programs that ended
- * @param abandoned programs whose callers lost patience
- * @param recomputedTokens prompt tokens computed that a cache could have held, and prompts of attempts that were lost
- * @param worstShare lowest share of its entitlement that an account got
- * @param worstP95Millis highest 95th percentile of program latency among accounts within their rate
- * @param withinRateP95Millis 95th percentile over the programs of all accounts within their rate
- * @param accountP95Millis 95th percentile of each account
- * @param refusalsWithinRate refusals and expiries of accounts within their rate
- * @param goodput necessary work answered in time while programs arrived, as a part of capacity
- * @param utilisation work done by the engines while programs arrived, as a part of capacity
+ * @param p50Millis median program latency without tool pauses; an abandoned program counts with at least the time after
+ *     which callers abandon
+ * @param p95Millis 95th percentile of that latency
+ * @param p99Millis 99th percentile of that latency
+ * @param completedP95Millis 95th percentile over completed programs only
+ * @param programs programs that completed or were abandoned
+ * @param abandoned programs that their callers abandoned
+ * @param recomputedTokens prompt tokens computed again although a cache could have held them, plus prompt tokens of
+ *     lost attempts
+ * @param worstShare lowest fraction of its max-min fair entitlement that any account received
+ * @param worstP95Millis highest per-account 95th percentile of program latency among accounts within their rate
+ * @param withinRateP95Millis 95th percentile of program latency over the programs of all accounts within their rate
+ * @param accountP95Millis 95th percentile of program latency by account name
+ * @param refusalsWithinRate requests of accounts within their rate that were refused or expired in the queue
+ * @param goodput necessary work answered after warm-up while programs arrived, as a fraction of capacity
+ * @param utilisation work done by the engines while programs arrived, as a fraction of capacity
  */
 public record Measures(
         double p50Millis,
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/ProgramRun.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/ProgramRun.java
@@ -1,6 +1,6 @@
 package org.quetzalshunt.app.bench.play;
 
-/** How far one program has come under one policy. */
+/** Mutable progress of one program during a run. */
 final class ProgramRun {
     final ProgramScript script;
     int turn;
@@ -8,17 +8,17 @@
     long turnStartedMillis;
     long latencyMillis;
     int outstanding;
-    boolean over;
+    boolean ended;
 
     ProgramRun(ProgramScript script) {
         this.script = script;
     }
 
-    ProgramScript.Turn present() {
+    ProgramScript.Turn currentTurn() {
         return script.turns().get(turn);
     }
 
-    boolean lastTurn() {
+    boolean isLastTurn() {
         return turn + 1 == script.turns().size();
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/Recorder.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/Recorder.java
@@ -4,85 +4,85 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** Gathers what callers get during one run. */
+/** Collects latencies, work and refusals during one run and computes its measures. */
 final class Recorder {
-    /** Part of the arrivals' time that goodput leaves out, while queues fill. */
-    private static final double WARM_UP_PART = 0.4;
+    /** Fraction of the arrival period that is left out of goodput and shares, because queues are still filling. */
+    private static final double WARM_UP_FRACTION = 0.4;
 
-    /** Time within which an answer counts as served to an account that asks for less than its fair part. */
-    private static final long SERVED_MILLIS = 60_000;
+    /** Time within which an answer counts as served for an account whose demand is below its fair share. */
+    private static final long SERVED_WITHIN_MILLIS = 60_000;
 
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final double P95 = 95;
 
-    private static final class AccountRow {
+    private static final class AccountTotals {
         private final AccountLoad load;
-        private final Histogram latency = new Histogram(DIGITS);
+        private final Histogram latency = new Histogram(SIGNIFICANT_DIGITS);
         private double demandedUnits;
         private double answeredUnits;
         private double servedUnits;
 
-        private AccountRow(AccountLoad load) {
+        private AccountTotals(AccountLoad load) {
             this.load = load;
         }
     }
 
-    private final Play play;
-    private final Map<String, AccountRow> accounts = new TreeMap<>();
-    private final Histogram latency = new Histogram(DIGITS);
-    private final Histogram withinRateLatency = new Histogram(DIGITS);
-    private final Histogram completedLatency = new Histogram(DIGITS);
+    private final Scenario scenario;
+    private final Map<String, AccountTotals> accounts = new TreeMap<>();
+    private final Histogram latency = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram withinRateLatency = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram completedLatency = new Histogram(SIGNIFICANT_DIGITS);
     private int abandoned;
     private long recomputedTokens;
     private long refusalsWithinRate;
-    private double goodUnits;
+    private double goodputUnits;
 
-    Recorder(Play play) {
-        this.play = play;
-        for (AccountLoad account : play.accounts()) {
-            accounts.put(account.name(), new AccountRow(account));
+    Recorder(Scenario scenario) {
+        this.scenario = scenario;
+        for (AccountLoad account : scenario.accounts()) {
+            accounts.put(account.name(), new AccountTotals(account));
         }
     }
 
     private double warmUpMillis() {
-        return WARM_UP_PART * play.arrivalMillis();
+        return WARM_UP_FRACTION * scenario.arrivalMillis();
     }
 
-    private boolean measured(long millis) {
-        return millis >= warmUpMillis() && millis < play.arrivalMillis();
+    private boolean isMeasured(long millis) {
+        return millis >= warmUpMillis() && millis < scenario.arrivalMillis();
     }
 
     void offered(long nowMillis, Call call) {
-        if (measured(nowMillis)) {
+        if (isMeasured(nowMillis)) {
             accounts.get(call.account().name()).demandedUnits += units(call);
         }
     }
 
     private double units(Call call) {
-        return play.units(call.newPromptTokens, call.outputTokens);
+        return scenario.units(call.newPromptTokens, call.outputTokens);
     }
 
     void answered(long nowMillis, Call call, long cachedTokens) {
         recomputedTokens += Math.max(0, call.promptTokens - cachedTokens - call.newPromptTokens);
-        AccountRow account = accounts.get(call.account().name());
-        if (measured(nowMillis)) {
-            goodUnits += units(call);
+        AccountTotals account = accounts.get(call.account().name());
+        if (isMeasured(nowMillis)) {
+            goodputUnits += units(call);
             account.answeredUnits += units(call);
         }
-        boolean inTime = nowMillis - call.firstOfferedMillis <= SERVED_MILLIS;
-        if (measured(call.firstOfferedMillis) && inTime) {
+        boolean inTime = nowMillis - call.firstOfferedMillis <= SERVED_WITHIN_MILLIS;
+        if (isMeasured(call.firstOfferedMillis) && inTime) {
             account.servedUnits += units(call);
         }
     }
 
     void attemptLost(EngineRequest request) {
-        if (request.decoding()) {
+        if (request.isDecoding()) {
             recomputedTokens += request.promptTokens - request.cachedTokens;
         }
     }
 
     void refused(Call call) {
-        if (call.account().withinRate()) {
+        if (call.account().isWithinRate()) {
             refusalsWithinRate++;
         }
     }
@@ -92,27 +92,27 @@
         record(program, program.latencyMillis);
     }
 
-    void abandoned(ProgramRun program, long patienceMillis) {
+    void abandoned(ProgramRun program, long abandonedAfterMillis) {
         abandoned++;
-        record(program, Math.max(patienceMillis, program.latencyMillis));
+        record(program, Math.max(abandonedAfterMillis, program.latencyMillis));
     }
 
     private void record(ProgramRun program, long millis) {
         latency.recordValue(millis);
-        if (program.script.account().withinRate()) {
+        if (program.script.account().isWithinRate()) {
             withinRateLatency.recordValue(millis);
         }
         accounts.get(program.script.account().name()).latency.recordValue(millis);
     }
 
     Measures measures(double unitsDoneWhileArriving) {
-        double capacity = play.unitsPerSecond() / 1_000;
+        double capacity = scenario.unitsPerSecond() / 1_000;
         Map<String, Double> accountP95 = new TreeMap<>();
         double worstP95 = 0;
-        for (AccountRow row : accounts.values()) {
-            double p95 = row.latency.getValueAtPercentile(P95);
-            accountP95.put(row.load.name(), p95);
-            worstP95 = row.load.withinRate() ? Math.max(worstP95, p95) : worstP95;
+        for (AccountTotals totals : accounts.values()) {
+            double p95 = totals.latency.getValueAtPercentile(P95);
+            accountP95.put(totals.load.name(), p95);
+            worstP95 = totals.load.isWithinRate() ? Math.max(worstP95, p95) : worstP95;
         }
         return new Measures(
                 latency.getValueAtPercentile(50),
@@ -127,23 +127,25 @@
                 withinRateLatency.getValueAtPercentile(P95),
                 accountP95,
                 refusalsWithinRate,
-                goodUnits / (capacity * (play.arrivalMillis() - warmUpMillis())),
-                unitsDoneWhileArriving / (capacity * play.arrivalMillis()));
+                goodputUnits / (capacity * (scenario.arrivalMillis() - warmUpMillis())),
+                unitsDoneWhileArriving / (capacity * scenario.arrivalMillis()));
     }
 
     /**
-     * Lowest share of an entitlement, where an account is entitled to its demand up to a level by weight, and the
-     * level is raised until capacity is given out (max-min fairness). An account below the level must get all it asks
-     * for in time; one above it must get the level's work while others ask for theirs.
+     * Returns the lowest fraction of its entitlement that any account received. Entitlements follow weighted max-min
+     * fairness: each account is entitled to its demand, capped at a level times its weight, where the level is raised
+     * until the whole capacity is allocated. An account below its cap must have all its demand answered in time. An
+     * account above its cap must have the capped amount of work answered during the measured period.
      */
     private double worstShare() {
-        double level = fairLevel(play.unitsPerSecond() * (play.arrivalMillis() - warmUpMillis()) / 1_000);
+        double level = fairLevel(scenario.unitsPerSecond() * (scenario.arrivalMillis() - warmUpMillis()) / 1_000);
         double worst = 1;
-        for (AccountRow row : accounts.values()) {
-            double fair = level * row.load.weight();
-            if (row.demandedUnits > 0) {
-                boolean below = row.demandedUnits <= fair;
-                double share = below ? row.servedUnits / row.demandedUnits : row.answeredUnits / fair;
+        for (AccountTotals totals : accounts.values()) {
+            double fairUnits = level * totals.load.weight();
+            if (totals.demandedUnits > 0) {
+                boolean isBelowFairShare = totals.demandedUnits <= fairUnits;
+                double share =
+                        isBelowFairShare ? totals.servedUnits / totals.demandedUnits : totals.answeredUnits / fairUnits;
                 worst = Math.min(worst, share);
             }
         }
@@ -154,15 +156,15 @@
         double low = 0;
         double high = capacityUnits
                 / accounts.values().stream()
-                        .mapToDouble(row -> row.load.weight())
+                        .mapToDouble(totals -> totals.load.weight())
                         .min()
                         .orElse(1);
-        for (int halving = 0; halving < 60; halving++) {
+        for (int iteration = 0; iteration < 60; iteration++) {
             double level = (low + high) / 2;
-            double given = accounts.values().stream()
-                    .mapToDouble(row -> Math.min(row.demandedUnits, level * row.load.weight()))
+            double allocatedUnits = accounts.values().stream()
+                    .mapToDouble(totals -> Math.min(totals.demandedUnits, level * totals.load.weight()))
                     .sum();
-            if (given < capacityUnits) {
+            if (allocatedUnits < capacityUnits) {
                 low = level;
             } else {
                 high = level;
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/Play.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/Scenario.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * A pattern of load, without a policy.
+ * A load pattern with engines and faults, independent of the scheduling policy under test.
  *
- * @param name name on the command line
- * @param story what happens, in one sentence
- * @param engines engines of the one service
- * @param engine what each can do
- * @param entries entries that share them
- * @param reports how their load is reported
- * @param accounts client accounts; their parts add up to one
- * @param programs kinds of programs; their probabilities add up to one
- * @param load necessary work that comes in at agreed rates, as a part of the engines' capacity
- * @param burst a time in which everybody sends more
- * @param faults what goes wrong
- * @param arrivalMillis how long new programs arrive; the play goes on until all have ended
+ * @param name name used on the command line
+ * @param description one-sentence description for the output
+ * @param engines number of engines of the single service
+ * @param engine capacity of each engine
+ * @param entries number of entries that share the engines
+ * @param reports timing of the engines' load reports
+ * @param accounts client accounts, whose load fractions add up to one
+ * @param programs kinds of programs, whose probabilities add up to one
+ * @param load necessary work offered at the agreed rates, as a fraction of the engines' capacity
+ * @param burst period in which all accounts send more
+ * @param faults engine faults
+ * @param arrivalMillis period in which new programs arrive; the scenario runs until all programs have ended
  */
-public record Play(
+public record Scenario(
         String name,
-        String story,
+        String description,
         int engines,
         EngineShape engine,
         int entries,
@@ -33,19 +33,19 @@
         long arrivalMillis) {
 
     /**
-     * How load is reported to each entry.
+     * Timing of load reports to each entry.
      *
-     * @param everyMillis time between reports of one engine to one entry
-     * @param lagMillis age of a report when it comes
+     * @param intervalMillis time between reports of one engine to one entry
+     * @param lagMillis age of a report on arrival
      */
-    public record Reports(long everyMillis, long lagMillis) {}
+    public record Reports(long intervalMillis, long lagMillis) {}
 
     /**
-     * A time in which arrivals are multiplied.
+     * A period with a multiplied arrival rate.
      *
-     * @param fromMillis start
-     * @param untilMillis end
-     * @param factor how many times the usual arrivals
+     * @param fromMillis start of the period
+     * @param untilMillis end of the period, exclusive
+     * @param factor multiple of the usual arrival rate
      */
     public record Burst(long fromMillis, long untilMillis, double factor) {
         static Burst none() {
@@ -62,15 +62,15 @@
         return engines * engine.unitsPerSecond();
     }
 
-    /** Necessary work of a prompt part and an answer, in units. */
+    /** Units of work needed to prefill new prompt tokens and to generate an answer. */
     double units(long promptTokens, long outputTokens) {
         return promptTokens * engine.unitsPerPromptToken() + outputTokens;
     }
 
-    Play withName(String newName, String newStory) {
-        return new Play(
+    Scenario withName(String newName, String newDescription) {
+        return new Scenario(
                 newName,
-                newStory,
+                newDescription,
                 engines,
                 engine,
                 entries,
@@ -83,10 +83,10 @@
                 arrivalMillis);
     }
 
-    Play withEngines(int newEngines, EngineShape newEngine, int newEntries, Reports newReports) {
-        return new Play(
+    Scenario withEngines(int newEngines, EngineShape newEngine, int newEntries, Reports newReports) {
+        return new Scenario(
                 name,
-                story,
+                description,
                 newEngines,
                 newEngine,
                 newEntries,
@@ -99,10 +99,10 @@
                 arrivalMillis);
     }
 
-    Play withAccounts(List<AccountLoad> newAccounts) {
-        return new Play(
+    Scenario withAccounts(List<AccountLoad> newAccounts) {
+        return new Scenario(
                 name,
-                story,
+                description,
                 engines,
                 engine,
                 entries,
@@ -115,10 +115,10 @@
                 arrivalMillis);
     }
 
-    Play withPrograms(List<ProgramShape> newPrograms) {
-        return new Play(
+    Scenario withPrograms(List<ProgramShape> newPrograms) {
+        return new Scenario(
                 name,
-                story,
+                description,
                 engines,
                 engine,
                 entries,
@@ -131,10 +131,10 @@
                 arrivalMillis);
     }
 
-    Play withBurst(Burst newBurst) {
-        return new Play(
+    Scenario withBurst(Burst newBurst) {
+        return new Scenario(
                 name,
-                story,
+                description,
                 engines,
                 engine,
                 entries,
@@ -147,10 +147,10 @@
                 arrivalMillis);
     }
 
-    Play withFaults(List<Fault> newFaults) {
-        return new Play(
+    Scenario withFaults(List<Fault> newFaults) {
+        return new Scenario(
                 name,
-                story,
+                description,
                 engines,
                 engine,
                 entries,
@@ -163,11 +163,11 @@
                 arrivalMillis);
     }
 
-    /** The same at another load for another time. */
-    public Play withLoad(double newLoad, long newArrivalMillis) {
-        return new Play(
+    /** Returns a copy with another load and arrival period. */
+    public Scenario withLoad(double newLoad, long newArrivalMillis) {
+        return new Scenario(
                 name,
-                story,
+                description,
                 engines,
                 engine,
                 entries,
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/PlayRun.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/ScenarioRun.java
@@ -16,37 +16,40 @@
 import org.quetzalshunt.core.decision.WorkItem;
 import org.quetzalshunt.core.result.Refusal;
 
-/** One run of a play under one policy: callers, entries with the real scheduler, fake engines, virtual time. */
-public final class PlayRun {
+/**
+ * Runs a scenario under one policy in virtual time, with simulated callers and engines and the production scheduler in
+ * each entry.
+ */
+public final class ScenarioRun {
     private static final long STEP_MILLIS = 10;
     private static final long DEADLINE_MILLIS = 60_000;
 
-    /** Time after a request's first offer at which its caller gives the program up. */
-    private static final long PATIENCE_MILLIS = 180_000;
+    /** Time after a request's first offer at which its caller abandons the program. */
+    private static final long ABANDON_AFTER_MILLIS = 180_000;
 
-    /** Time after which a caller sends again when it got an error or nothing. */
-    private static final long RESEND_MILLIS = 1_000;
+    /** Delay before a caller resends a request that failed, timed out or was refused without a retry delay. */
+    private static final long RESEND_DELAY_MILLIS = 1_000;
 
-    /** What an entry believes of every answer's length before it comes. */
+    /** Output length that the entries assume for every request, since the real length is unknown in advance. */
     private static final long EXPECTED_OUTPUT_TOKENS = 200;
 
-    private static final long PROGRESS_MILLIS = 500;
+    private static final long PROGRESS_INTERVAL_MILLIS = 500;
     private static final int QUEUE_LIMIT = 256;
     private static final double RETRY_JITTER = 0.25;
-    private static final long LONGEST_RUN_MILLIS = 7_200_000;
+    private static final long MAX_RUN_MILLIS = 7_200_000;
 
     private record Event(long atMillis, long sequence, Runnable action) {}
 
     private record Attempt(Call call, EngineRequest request, int entry, int engine) {}
 
-    private final Play play;
+    private final Scenario scenario;
     private final List<Scheduler> entries = new ArrayList<>();
-    private final EngineFleet fleet;
+    private final SimulatedFleet fleet;
     private final Recorder recorder;
-    private final SplittableRandom callers;
+    private final SplittableRandom callerRandom;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::atMillis).thenComparingLong(Event::sequence));
-    private final Map<Long, Call> offered = new HashMap<>();
+    private final Map<Long, Call> offeredCalls = new HashMap<>();
     private final Map<Long, Attempt> attempts = new HashMap<>();
     private long nowMillis;
     private long sequence;
@@ -54,31 +57,31 @@
     private int programsLeft;
     private double unitsWhileArriving;
 
-    private PlayRun(Play play, Policy policy, long seed) {
-        this.play = play;
-        this.fleet = new EngineFleet(play, STEP_MILLIS);
-        this.recorder = new Recorder(play);
-        this.callers = new SplittableRandom(seed + 1);
-        for (int entry = 0; entry < play.entries(); entry++) {
+    private ScenarioRun(Scenario scenario, Policy policy, long seed) {
+        this.scenario = scenario;
+        this.fleet = new SimulatedFleet(scenario, STEP_MILLIS);
+        this.recorder = new Recorder(scenario);
+        this.callerRandom = new SplittableRandom(seed + 1);
+        for (int entry = 0; entry < scenario.entries(); entry++) {
             SchedulerSettings settings = SchedulerSettings.of(
-                            EngineFleet.dataCentre(entry), play.entries(), seed * 31 + entry)
+                            SimulatedFleet.dataCentre(entry), scenario.entries(), seed * 31 + entry)
                     .withPolicy(policy);
             entries.add(Scheduler.create(settings));
         }
     }
 
-    /** Runs a play to its end. */
-    public static Measures run(Play play, Policy policy, long seed) {
-        return new PlayRun(play, policy, seed).run(Workload.draw(play, seed));
+    /** Runs a scenario until all programs have ended. */
+    public static Measures run(Scenario scenario, Policy policy, long seed) {
+        return new ScenarioRun(scenario, policy, seed).run(Workload.generate(scenario, seed));
     }
 
     private Measures run(List<ProgramScript> scripts) {
         programsLeft = scripts.size();
         for (ProgramScript script : scripts) {
             ProgramRun program = new ProgramRun(script);
-            at(script.arrivalMillis(), () -> startTurn(program));
+            schedule(script.arrivalMillis(), () -> startTurn(program));
         }
-        while (programsLeft > 0 && nowMillis < LONGEST_RUN_MILLIS) {
+        while (programsLeft > 0 && nowMillis < MAX_RUN_MILLIS) {
             step();
             nowMillis += STEP_MILLIS;
         }
@@ -89,33 +92,33 @@
         for (EngineRequest lost : fleet.applyFaults(nowMillis, entries)) {
             endpointFailed(attempts.get(lost.id));
         }
-        fleet.report(nowMillis, entries);
+        fleet.recordAndSendReports(nowMillis, entries);
         while (!events.isEmpty() && events.peek().atMillis() <= nowMillis) {
             events.remove().action().run();
         }
         for (int entry = 0; entry < entries.size(); entry++) {
-            decide(entry);
+            runScheduler(entry);
         }
         for (int engine = 0; engine < fleet.size(); engine++) {
             for (EngineRequest done : fleet.engine(engine).step(nowMillis, STEP_MILLIS)) {
                 answered(attempts.remove(done.id));
             }
         }
-        if (nowMillis % PROGRESS_MILLIS == 0) {
+        if (nowMillis % PROGRESS_INTERVAL_MILLIS == 0) {
             attempts.forEach((id, attempt) -> entries.get(attempt.entry())
-                    .progressed(nowMillis, id, attempt.request().delivered()));
+                    .progressed(nowMillis, id, attempt.request().deliveredTokens()));
         }
-        if (nowMillis <= play.arrivalMillis()) {
+        if (nowMillis <= scenario.arrivalMillis()) {
             unitsWhileArriving = fleet.unitsDone();
         }
     }
 
-    private void at(long millis, Runnable action) {
+    private void schedule(long millis, Runnable action) {
         events.add(new Event(millis, sequence++, action));
     }
 
     private void startTurn(ProgramRun program) {
-        ProgramScript.Turn turn = program.present();
+        ProgramScript.Turn turn = program.currentTurn();
         program.turnStartedMillis = nowMillis;
         program.outstanding = 1;
         program.historyTokens += turn.newPromptTokens();
@@ -127,10 +130,10 @@
                 turn.newPromptTokens(),
                 turn.outputTokens(),
                 nowMillis);
-        begin(call);
+        startCall(call);
     }
 
-    private void begin(Call call) {
+    private void startCall(Call call) {
         recorder.offered(nowMillis, call);
         call.deadlineMillis = nowMillis + DEADLINE_MILLIS;
         offer(call);
@@ -141,13 +144,13 @@
     }
 
     private void offer(Call call) {
-        if (call.program.over) {
+        if (call.program.ended) {
             return;
         }
         long id = nextId++;
         WorkItem item = new WorkItem(
                 id,
-                EngineFleet.SERVICE,
+                SimulatedFleet.SERVICE,
                 call.account().name(),
                 call.account().weight(),
                 call.program.script.name(),
@@ -159,25 +162,25 @@
                 call.deadlineMillis,
                 call.attempts,
                 call.avoidEndpoint);
-        offered.put(id, call);
+        offeredCalls.put(id, call);
         entries.get(entryOf(call.program)).offer(nowMillis, item, QUEUE_LIMIT).ifPresent(refusal -> {
-            offered.remove(id);
+            offeredCalls.remove(id);
             refused(call, refusal);
         });
     }
 
     private void refused(Call call, Refusal refusal) {
         recorder.refused(call);
-        sendAgain(call, refusal.retryAfterMillis().orElse(RESEND_MILLIS));
+        scheduleResend(call, refusal.retryAfterMillis().orElse(RESEND_DELAY_MILLIS));
     }
 
-    private void sendAgain(Call call, long afterMillis) {
-        long wait = Math.round(afterMillis * (1 + RETRY_JITTER * callers.nextDouble()));
-        if (nowMillis + wait > call.firstOfferedMillis + PATIENCE_MILLIS) {
+    private void scheduleResend(Call call, long afterMillis) {
+        long delayMillis = Math.round(afterMillis * (1 + RETRY_JITTER * callerRandom.nextDouble()));
+        if (nowMillis + delayMillis > call.firstOfferedMillis + ABANDON_AFTER_MILLIS) {
             abandon(call.program);
             return;
         }
-        at(nowMillis + wait, () -> {
+        schedule(nowMillis + delayMillis, () -> {
             call.attempts = 0;
             call.avoidEndpoint = "";
             call.deadlineMillis = nowMillis + DEADLINE_MILLIS;
@@ -186,51 +189,51 @@
     }
 
     private void abandon(ProgramRun program) {
-        if (program.over) {
+        if (program.ended) {
             return;
         }
         program.latencyMillis += nowMillis - program.turnStartedMillis;
-        recorder.abandoned(program, PATIENCE_MILLIS);
-        end(program);
+        recorder.abandoned(program, ABANDON_AFTER_MILLIS);
+        endProgram(program);
     }
 
-    private void end(ProgramRun program) {
-        program.over = true;
+    private void endProgram(ProgramRun program) {
+        program.ended = true;
         programsLeft--;
-        forget(program, program.script.name());
+        evictHistory(program, program.script.name());
     }
 
-    private void forget(ProgramRun program, String cacheKey) {
+    private void evictHistory(ProgramRun program, String cacheKey) {
         entries.get(entryOf(program)).cacheForgotten(cacheKey);
         for (int engine = 0; engine < fleet.size(); engine++) {
-            fleet.engine(engine).forget(cacheKey);
+            fleet.engine(engine).evict(cacheKey);
         }
     }
 
-    private void decide(int entry) {
+    private void runScheduler(int entry) {
         Scheduler scheduler = entries.get(entry);
         for (Expired expired : scheduler.expire(nowMillis)) {
-            refused(offered.remove(expired.item().id()), expired.refusal());
+            refused(offeredCalls.remove(expired.item().id()), expired.refusal());
         }
         for (Dispatch dispatch : scheduler.tick(nowMillis)) {
-            dispatched(entry, dispatch);
+            startAttempt(entry, dispatch);
         }
     }
 
-    private void dispatched(int entry, Dispatch dispatch) {
+    private void startAttempt(int entry, Dispatch dispatch) {
         WorkItem item = dispatch.item();
-        Call call = offered.remove(item.id());
-        int engine = EngineFleet.number(dispatch.endpoint());
+        Call call = offeredCalls.remove(item.id());
+        int engine = SimulatedFleet.indexOf(dispatch.endpoint());
         EngineRequest request = new EngineRequest(
                 item.id(), call.cacheKey, dispatch.priority(), call.promptTokens, call.outputTokens, nowMillis);
         Attempt attempt = new Attempt(call, request, entry, engine);
         attempts.put(item.id(), attempt);
-        if (fleet.engine(engine).down()) {
-            at(nowMillis + STEP_MILLIS, () -> endpointFailed(attempt));
+        if (fleet.engine(engine).isDown()) {
+            schedule(nowMillis + STEP_MILLIS, () -> endpointFailed(attempt));
             return;
         }
         fleet.engine(engine).submit(request);
-        at(call.deadlineMillis, () -> deadlinePassed(attempt));
+        schedule(call.deadlineMillis, () -> deadlinePassed(attempt));
     }
 
     private void endpointFailed(Attempt attempt) {
@@ -243,15 +246,15 @@
         scheduler.finished(
                 nowMillis,
                 attempt.request().id,
-                Finish.endpointFailed(attempt.request().delivered(), duration));
+                Finish.endpointFailed(attempt.request().deliveredTokens(), duration));
         Call call = attempt.call();
-        if (!scheduler.mayRetry(nowMillis, EngineFleet.SERVICE)) {
-            sendAgain(call, RESEND_MILLIS);
+        if (!scheduler.mayRetry(nowMillis, SimulatedFleet.SERVICE)) {
+            scheduleResend(call, RESEND_DELAY_MILLIS);
             return;
         }
         call.attempts++;
-        call.avoidEndpoint = EngineFleet.name(attempt.engine());
-        at(nowMillis + scheduler.retryDelayMillis(call.attempts), () -> offer(call));
+        call.avoidEndpoint = SimulatedFleet.name(attempt.engine());
+        schedule(nowMillis + scheduler.retryDelayMillis(call.attempts), () -> offer(call));
     }
 
     private void deadlinePassed(Attempt attempt) {
@@ -262,8 +265,9 @@
         recorder.attemptLost(request);
         fleet.engine(attempt.engine()).cancel(request.id);
         long duration = nowMillis - request.dispatchedMillis;
-        entries.get(attempt.entry()).finished(nowMillis, request.id, Finish.cancelled(request.delivered(), duration));
-        sendAgain(attempt.call(), RESEND_MILLIS);
+        entries.get(attempt.entry())
+                .finished(nowMillis, request.id, Finish.cancelled(request.deliveredTokens(), duration));
+        scheduleResend(attempt.call(), RESEND_DELAY_MILLIS);
     }
 
     private void answered(Attempt attempt) {
@@ -280,42 +284,42 @@
                         call.outputTokens,
                         request.firstTokenMillis - request.dispatchedMillis,
                         nowMillis - request.dispatchedMillis));
-        fleet.sendFresh(nowMillis, attempt.engine(), scheduler);
+        fleet.sendCurrentReport(nowMillis, attempt.engine(), scheduler);
         callAnswered(call);
     }
 
     private void callAnswered(Call call) {
         ProgramRun program = call.program;
-        if (program.over) {
+        if (program.ended) {
             return;
         }
-        boolean ofRoot = call.cacheKey.equals(program.script.name());
-        if (ofRoot) {
+        boolean isRootCall = call.cacheKey.equals(program.script.name());
+        if (isRootCall) {
             program.historyTokens += call.outputTokens;
-            startSubAgents(program);
+            startSubAgentCalls(program);
         } else {
-            forget(program, call.cacheKey);
+            evictHistory(program, call.cacheKey);
         }
         if (--program.outstanding > 0) {
             return;
         }
         program.latencyMillis += nowMillis - program.turnStartedMillis;
-        if (program.lastTurn()) {
+        if (program.isLastTurn()) {
             recorder.completed(program);
-            end(program);
+            endProgram(program);
             return;
         }
-        long pause = program.present().pauseMillis();
+        long pause = program.currentTurn().pauseMillis();
         program.turn++;
-        at(nowMillis + pause, () -> startTurn(program));
+        schedule(nowMillis + pause, () -> startTurn(program));
     }
 
-    private void startSubAgents(ProgramRun program) {
+    private void startSubAgentCalls(ProgramRun program) {
         int number = 0;
-        for (ProgramScript.SubAgent agent : program.present().subAgents()) {
+        for (ProgramScript.SubAgent agent : program.currentTurn().subAgents()) {
             program.outstanding++;
             String cacheKey = program.script.name() + "/" + program.turn + "/" + number++;
-            begin(new Call(
+            startCall(new Call(
                     program, cacheKey, 0, agent.promptTokens(), agent.promptTokens(), agent.outputTokens(), nowMillis));
         }
     }
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/Target.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/Target.java
@@ -1,12 +1,12 @@
 package org.quetzalshunt.app.bench.play;
 
 /**
- * A figure that the decisions are to reach.
+ * A performance target and the value measured against it.
  *
- * @param name what is compared
- * @param measured figure of this run
- * @param bound figure to reach
- * @param atMost whether the bound is an upper one
+ * @param name description of the compared quantity
+ * @param measured value measured in this run
+ * @param bound upper or lower bound of the target
+ * @param atMost whether the bound is an upper bound
  */
 public record Target(String name, double measured, double bound, boolean atMost) {
     static Target atMost(String name, double measured, double bound) {
@@ -17,8 +17,8 @@
         return new Target(name, measured, bound, false);
     }
 
-    /** Whether the figure was reached. */
-    public boolean reached() {
+    /** Whether the measured value meets the bound. */
+    public boolean isReached() {
         return atMost ? measured <= bound : measured >= bound;
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/Workload.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/Workload.java
@@ -5,43 +5,44 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Draws the programs of a play from a seed. */
+/** Draws the programs of a scenario from a seed. */
 final class Workload {
-    private static final int SUB_AGENTS = 2;
+    private static final int SUB_AGENTS_PER_TURN = 2;
     private static final int SAMPLED_PROGRAMS = 2_000;
 
-    private final Play play;
+    private final Scenario scenario;
     private final SplittableRandom random;
 
-    private Workload(Play play, long seed) {
-        this.play = play;
+    private Workload(Scenario scenario, long seed) {
+        this.scenario = scenario;
         this.random = new SplittableRandom(seed);
     }
 
-    /** All programs of a play, by arrival. */
-    static List<ProgramScript> draw(Play play, long seed) {
-        return new Workload(play, seed).programs();
+    /** Returns all programs of a scenario, ordered by arrival. */
+    static List<ProgramScript> generate(Scenario scenario, long seed) {
+        return new Workload(scenario, seed).drawPrograms();
     }
 
-    private List<ProgramScript> programs() {
-        double programsPerMillis = play.load() * play.unitsPerSecond() / 1_000 / meanUnits();
+    private List<ProgramScript> drawPrograms() {
+        double programsPerMillis = scenario.load() * scenario.unitsPerSecond() / 1_000 / meanUnits();
         List<ProgramScript> programs = new ArrayList<>();
-        for (AccountLoad account : play.accounts()) {
-            // Each account draws from its own generator, so that an account's programs stay the same when another
-            // one's load changes.
-            Workload own = new Workload(
-                    play, account.name().hashCode() * 31L + random.split().nextLong());
-            own.arrivals(account, programsPerMillis * account.part() * account.factor(), programs);
+        for (AccountLoad account : scenario.accounts()) {
+            // Each account has its own random generator, so that its programs stay the same when another account's load
+            // changes.
+            Workload accountWorkload = new Workload(
+                    scenario, account.name().hashCode() * 31L + random.split().nextLong());
+            accountWorkload.addArrivals(
+                    account, programsPerMillis * account.loadFraction() * account.rateFactor(), programs);
         }
         programs.sort(Comparator.comparingLong(ProgramScript::arrivalMillis));
         return programs;
     }
 
     private double meanUnits() {
-        Workload sampler = new Workload(play, 1);
+        Workload sampler = new Workload(scenario, 1);
         double units = 0;
         for (int number = 0; number < SAMPLED_PROGRAMS; number++) {
-            units += sampler.units(sampler.turns());
+            units += sampler.units(sampler.drawTurns());
         }
         return units / SAMPLED_PROGRAMS;
     }
@@ -49,66 +50,67 @@
     private double units(List<ProgramScript.Turn> turns) {
         double units = 0;
         for (ProgramScript.Turn turn : turns) {
-            units += play.units(turn.newPromptTokens(), turn.outputTokens());
+            units += scenario.units(turn.newPromptTokens(), turn.outputTokens());
             for (ProgramScript.SubAgent agent : turn.subAgents()) {
-                units += play.units(agent.promptTokens(), agent.outputTokens());
+                units += scenario.units(agent.promptTokens(), agent.outputTokens());
             }
         }
         return units;
     }
 
-    private void arrivals(AccountLoad account, double perMillis, List<ProgramScript> programs) {
-        double most = perMillis * Math.max(1, play.burst().factor());
+    private void addArrivals(AccountLoad account, double perMillis, List<ProgramScript> programs) {
+        double peakPerMillis = perMillis * Math.max(1, scenario.burst().factor());
         double millis = 0;
         int number = 0;
         while (true) {
-            millis -= Math.log(1 - random.nextDouble()) / most;
-            if (millis >= play.arrivalMillis()) {
+            millis -= Math.log(1 - random.nextDouble()) / peakPerMillis;
+            if (millis >= scenario.arrivalMillis()) {
                 return;
             }
             long arrival = (long) millis;
-            double accepted = perMillis * play.burst().factorAt(arrival) / most;
-            if (random.nextDouble() < accepted) {
-                programs.add(new ProgramScript(account.name() + "-" + number++, account, arrival, turns()));
+            double acceptance = perMillis * scenario.burst().factorAt(arrival) / peakPerMillis;
+            if (random.nextDouble() < acceptance) {
+                programs.add(new ProgramScript(account.name() + "-" + number++, account, arrival, drawTurns()));
             }
         }
     }
 
-    private List<ProgramScript.Turn> turns() {
-        ProgramShape shape = shape();
+    private List<ProgramScript.Turn> drawTurns() {
+        ProgramShape profile = drawProfile();
         List<ProgramScript.Turn> turns = new ArrayList<>();
-        long count = shape.turns().draw(random);
+        long count = profile.turns().draw(random);
         for (long turn = 0; turn < count; turn++) {
-            Range prompt = turn == 0 ? shape.firstPromptTokens() : shape.nextPromptTokens();
+            LogUniformRange prompt = turn == 0 ? profile.firstPromptTokens() : profile.nextPromptTokens();
             turns.add(new ProgramScript.Turn(
                     prompt.draw(random),
-                    shape.outputTokens().draw(random),
-                    shape.pauseMillis().draw(random),
-                    subAgents(shape)));
+                    profile.outputTokens().draw(random),
+                    profile.pauseMillis().draw(random),
+                    drawSubAgents(profile)));
         }
         return turns;
     }
 
-    private List<ProgramScript.SubAgent> subAgents(ProgramShape shape) {
-        if (random.nextDouble() >= shape.subAgentChance()) {
+    private List<ProgramScript.SubAgent> drawSubAgents(ProgramShape profile) {
+        if (random.nextDouble() >= profile.subAgentChance()) {
             return List.of();
         }
         List<ProgramScript.SubAgent> agents = new ArrayList<>();
-        for (int agent = 0; agent < SUB_AGENTS; agent++) {
+        for (int agent = 0; agent < SUB_AGENTS_PER_TURN; agent++) {
             agents.add(new ProgramScript.SubAgent(
-                    shape.nextPromptTokens().draw(random), shape.outputTokens().draw(random)));
+                    profile.nextPromptTokens().draw(random),
+                    profile.outputTokens().draw(random)));
         }
         return agents;
     }
 
-    private ProgramShape shape() {
+    private ProgramShape drawProfile() {
         double drawn = random.nextDouble();
-        for (ProgramShape shape : play.programs()) {
-            drawn -= shape.probability();
+        for (ProgramShape profile : scenario.programs()) {
+            drawn -= profile.probability();
             if (drawn < 0) {
-                return shape;
+                return profile;
             }
         }
-        return play.programs().get(play.programs().size() - 1);
+        return scenario.programs().get(scenario.programs().size() - 1);
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/package-info.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Plays: patterns of load in virtual time, run through the real scheduler over a small fake of the engines, and what
- * callers get from each policy. Shared by {@code bench decisions} and the tests.
+ * Load scenarios in virtual time that run the production scheduler over simulated engines and compare the results of
+ * scheduling policies. Shared by {@code bench decisions} and the tests.
  */
 package org.quetzalshunt.app.bench.play;
--- a/app/src/test/java/org/quetzalshunt/app/bench/play/PlaysTest.java
+++ b/app/src/test/java/org/quetzalshunt/app/bench/play/PlaysTest.java
@@ -9,99 +9,115 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.quetzalshunt.core.decision.Policy;
 
-/** What callers get in each play, beside the same arrivals under the plain baselines. */
+/** Compares the standard policy with the baseline policies on the same arrivals in each scenario. */
 final class PlaysTest {
     private static final List<Long> SEEDS = List.of(1L, 2L);
-    private static final String OURS = Policy.standard().name();
+    private static final String STANDARD = Policy.standard().name();
 
-    /** What a play must show; the story of each is told where it is listed. */
+    /** Condition that a scenario's results must meet; the failure that it guards against stands at the list below. */
     @FunctionalInterface
-    private interface Promise {
-        void check(PlayTable table);
+    private interface Expectation {
+        void check(ScenarioResults table);
     }
 
     static Stream<Arguments> plays() {
         return Stream.of(
-                // A lesson begins and every class asks at once for twenty seconds. Nobody is turned away, and the
-                // queue is gone again without prompts being computed anew on whichever engine was free.
-                Arguments.of(Plays.burst(), promises(fasterThan("round-robin", 0.8), nobodyRefused())),
-                // Two large tenants send four fifths of everything. The small ones are served in full.
+                // All classes send requests at once for twenty seconds, as at the start of a lesson. No account within
+                // its rate may be refused, and the queue must drain without moving programs to engines that lack their
+                // cached prompts.
+                Arguments.of(Scenarios.burst(), expectations(fasterThan("round-robin", 0.8), noRefusalsWithinRate())),
+                // Two large accounts send four fifths of the load. The small accounts must still be served in full.
                 Arguments.of(
-                        Plays.fewAccounts(),
-                        promises(fasterThan("round-robin", 0.8), nobodyRefused(), shareAtLeast(0.95))),
-                // One tenant's script sends ten times its rate. The others' programs must not wait behind its queue;
-                // without fair shares they took as long as the flood's own.
+                        Scenarios.fewAccounts(),
+                        expectations(fasterThan("round-robin", 0.8), noRefusalsWithinRate(), shareAtLeast(0.95))),
+                // One account sends ten times its rate. The programs of other accounts must not wait behind its queue;
+                // without fair shares, they took as long as the flooding account's own programs.
                 Arguments.of(
-                        Plays.flood(), promises(nobodyRefused(), shareAtLeast(0.93), quietFasterThan("affinity-only"))),
-                // An engine's card overheats and computes at a fifth. A program that stays with its cache there takes
-                // minutes; it must move, and new ones must go elsewhere.
-                Arguments.of(Plays.slowEndpoint(), promises(fasterThan("affinity-only", 0.5), nobodyRefused())),
-                // An engine dies with all it runs, the platform's list names it for ten more seconds, and it returns
-                // cold and slow. Callers see no error that they must act on, and nobody crawls behind its return.
-                Arguments.of(Plays.lostEndpoint(), promises(fasterThan("affinity-only", 0.9), nobodyRefused())),
-                // Planning programs of many long turns run among quick questions. The questions must not wait for
-                // them, although nobody knows ahead which is which.
-                Arguments.of(Plays.longAmongShort(), promises(fasterThan("round-robin", 0.6), nobodyRefused())),
-                // The live histories outgrow the caches, so what was cached a minute ago may be gone. Believing it to
-                // be there makes programs wait for nothing.
-                Arguments.of(Plays.cacheThrash(), promises(fasterThan("affinity-only", 1), nobodyRefused())),
-                // Sixteen entries read the same reports, up to three seconds old. If all pick the engine that looked
-                // free, it drowns until the next report.
-                Arguments.of(Plays.laggingReports(), promises(fasterThan("least-loaded", 0.6), nobodyRefused())),
-                // Twice the capacity comes in for long. What is started must be finished: programs that fail halfway
-                // waste what they took, and prompts computed again take what was short.
-                Arguments.of(Plays.saturation(), promises(goodputAtLeast(0.92), fasterThan("affinity-only", 0.9))),
-                // Tools take from a second to ten minutes. Programs that come back find their cache where it was held.
-                Arguments.of(Plays.toolPauses(), promises(fasterThan("round-robin", 0.9), nobodyRefused())));
+                        Scenarios.flood(),
+                        expectations(
+                                noRefusalsWithinRate(), shareAtLeast(0.93), withinRateFasterThan("affinity-only"))),
+                // An overheated GPU slows one engine to a fifth of its speed. A program that stays there for its cache
+                // takes minutes, so it must move, and new programs must avoid the engine.
+                Arguments.of(
+                        Scenarios.slowEndpoint(),
+                        expectations(fasterThan("affinity-only", 0.5), noRefusalsWithinRate())),
+                // An engine crashes with all its requests, stays in the platform's VM list for ten more seconds, and
+                // restarts slowly with an empty cache. No account within its rate may be refused, and programs must
+                // not queue behind the restarted engine.
+                Arguments.of(
+                        Scenarios.lostEndpoint(),
+                        expectations(fasterThan("affinity-only", 0.9), noRefusalsWithinRate())),
+                // Planning programs of many long turns are mixed with quick questions. The questions must not wait for
+                // the planning programs, although the scheduler cannot tell them apart in advance.
+                Arguments.of(
+                        Scenarios.longAmongShort(),
+                        expectations(fasterThan("round-robin", 0.6), noRefusalsWithinRate())),
+                // The live histories exceed the caches, so a prefix cached a minute ago may be evicted. A policy that
+                // assumes that it is still cached makes programs wait without benefit.
+                Arguments.of(
+                        Scenarios.cacheThrash(), expectations(fasterThan("affinity-only", 1), noRefusalsWithinRate())),
+                // Sixteen entries read the same load reports, up to three seconds old. If all choose the engine that
+                // was reported idle, it is overloaded until the next report.
+                Arguments.of(
+                        Scenarios.laggingReports(),
+                        expectations(fasterThan("least-loaded", 0.6), noRefusalsWithinRate())),
+                // The offered load is twice the capacity for the whole run. Started programs must be completed, because
+                // abandoned programs waste the work done for them and recomputed prompts consume scarce capacity.
+                Arguments.of(
+                        Scenarios.saturation(), expectations(goodputAtLeast(0.92), fasterThan("affinity-only", 0.9))),
+                // Tool calls take from a second to ten minutes. Programs that resume must still find their cached
+                // prefix.
+                Arguments.of(
+                        Scenarios.toolPauses(), expectations(fasterThan("round-robin", 0.9), noRefusalsWithinRate())));
     }
 
     @ParameterizedTest
     @MethodSource("plays")
-    void callersGetWhatThePlayPromises(Play play, List<Promise> promises) {
-        PlayTable table = PlayTable.measure(play, PlayTable.policies(), SEEDS);
+    void standardPolicyMeetsExpectations(Scenario scenario, List<Expectation> expectations) {
+        ScenarioResults table = ScenarioResults.measure(scenario, ScenarioResults.policies(), SEEDS);
 
-        for (Promise promise : promises) {
-            promise.check(table);
+        for (Expectation expectation : expectations) {
+            expectation.check(table);
         }
-        double again = table.ratio(OURS, "least-loaded", Measures::recomputedTokens);
-        if (!play.equals(Plays.cacheThrash())) {
-            assertWithMessage(play.name() + ": tokens computed again beside least loaded")
-                    .that(again)
+        double recomputedRatio = table.ratio(STANDARD, "least-loaded", Measures::recomputedTokens);
+        if (!scenario.equals(Scenarios.cacheThrash())) {
+            assertWithMessage(scenario.name() + ": tokens computed again beside least loaded")
+                    .that(recomputedRatio)
                     .isAtMost(0.35);
         }
     }
 
-    private static List<Promise> promises(Promise... promises) {
-        return List.of(promises);
+    private static List<Expectation> expectations(Expectation... expectations) {
+        return List.of(expectations);
     }
 
-    private static Promise fasterThan(String policy, double ratio) {
-        return table -> assertWithMessage(table.play().name() + ": program p95 beside " + policy)
-                .that(table.ratio(OURS, policy, Measures::p95Millis))
+    private static Expectation fasterThan(String policy, double ratio) {
+        return table -> assertWithMessage(table.scenario().name() + ": program p95 beside " + policy)
+                .that(table.ratio(STANDARD, policy, Measures::p95Millis))
                 .isAtMost(ratio);
     }
 
-    private static Promise quietFasterThan(String policy) {
-        return table -> assertWithMessage(table.play().name() + ": quiet accounts' p95 beside " + policy)
-                .that(table.ratio(OURS, policy, Measures::withinRateP95Millis))
+    private static Expectation withinRateFasterThan(String policy) {
+        return table -> assertWithMessage(table.scenario().name() + ": quiet accounts' p95 beside " + policy)
+                .that(table.ratio(STANDARD, policy, Measures::withinRateP95Millis))
                 .isAtMost(0.5);
     }
 
-    private static Promise nobodyRefused() {
-        return table -> assertWithMessage(table.play().name() + ": refusals within rate")
-                .that(table.spread(OURS, Measures::refusalsWithinRate).getMax())
+    private static Expectation noRefusalsWithinRate() {
+        return table -> assertWithMessage(table.scenario().name() + ": refusals within rate")
+                .that(table.statistics(STANDARD, Measures::refusalsWithinRate).getMax())
                 .isEqualTo(0.0);
     }
 
-    private static Promise shareAtLeast(double share) {
-        return table -> assertWithMessage(table.play().name() + ": worst share of entitlement")
-                .that(table.spread(OURS, Measures::worstShare).getMin())
+    private static Expectation shareAtLeast(double share) {
+        return table -> assertWithMessage(table.scenario().name() + ": worst share of entitlement")
+                .that(table.statistics(STANDARD, Measures::worstShare).getMin())
                 .isAtLeast(share);
     }
 
-    private static Promise goodputAtLeast(double part) {
-        return table -> assertWithMessage(table.play().name() + ": goodput")
-                .that(table.spread(OURS, Measures::goodput).getMin())
-                .isAtLeast(part);
+    private static Expectation goodputAtLeast(double fraction) {
+        return table -> assertWithMessage(table.scenario().name() + ": goodput")
+                .that(table.statistics(STANDARD, Measures::goodput).getMin())
+                .isAtLeast(fraction);
     }
 }
--- a/app/src/test/java/org/quetzalshunt/app/bench/play/RuleMutationsTest.java
+++ b/app/src/test/java/org/quetzalshunt/app/bench/play/RuleMutationsTest.java
@@ -14,51 +14,64 @@
 import org.quetzalshunt.core.decision.endpoint.RoomRule;
 import org.quetzalshunt.core.decision.queue.WorkCharge;
 
-/** Each rule taken out in turn: callers must get clearly less, or the rule's play would not show that it works. */
+/**
+ * Removes one scheduling rule at a time. The measure must become clearly worse, since otherwise the scenario would not
+ * detect a fault in that rule.
+ */
 final class RuleMutationsTest {
     private static final List<Long> SEEDS = List.of(1L, 2L);
-    private static final Policy OURS = Policy.standard();
+    private static final Policy STANDARD = Policy.standard();
     private static final EndpointRules RULES = EndpointRules.adaptive();
 
     static Stream<Arguments> mutations() {
-        ToDoubleFunction<Measures> quietP95 = Measures::withinRateP95Millis;
+        ToDoubleFunction<Measures> withinRateP95 = Measures::withinRateP95Millis;
         return Stream.of(
-                // Accounts are not told apart: the quiet ones wait behind the flood.
-                Arguments.of("no fair shares", Plays.flood(), OURS.withCharge(WorkCharge.nothing()), quietP95, 1.3),
-                // No room is kept for programs in progress: their prompts are computed again on other engines.
+                // No charge per account: accounts within their rate wait behind the flooding account.
+                Arguments.of(
+                        "no fair shares",
+                        Scenarios.flood(),
+                        STANDARD.withCharge(WorkCharge.nothing()),
+                        withinRateP95,
+                        1.3),
+                // No room is reserved for programs in progress: their prompts are computed again on other engines.
                 Arguments.of(
                         "equal room",
-                        Plays.saturation(),
-                        OURS.withRules(RULES.withRoom(RoomRule.equal())),
+                        Scenarios.saturation(),
+                        STANDARD.withRules(RULES.withRoom(RoomRule.equal())),
                         (ToDoubleFunction<Measures>) Measures::recomputedTokens,
                         1.5),
-                // Endpoints have no limit: every answer slows down, and quiet accounts with it.
+                // Endpoints have no concurrency limit: all answers slow down, including those of accounts within their
+                // rate.
                 Arguments.of(
-                        "no limit", Plays.flood(), OURS.withRules(RULES.withRoom(RoomRule.unlimited())), quietP95, 1.3),
-                // The choice sees no speed and no load: programs stay with the slow engine.
+                        "no limit",
+                        Scenarios.flood(),
+                        STANDARD.withRules(RULES.withRoom(RoomRule.unlimited())),
+                        withinRateP95,
+                        1.3),
+                // The endpoint choice ignores speed and load: programs stay on the slow engine.
                 Arguments.of(
                         "affinity only",
-                        Plays.slowEndpoint(),
-                        OURS.withChoice(dataCentre -> PlainChoices.affinityOnly()),
+                        Scenarios.slowEndpoint(),
+                        STANDARD.withChoice(dataCentre -> PlainChoices.affinityOnly()),
                         (ToDoubleFunction<Measures>) Measures::p95Millis,
                         2.0),
-                // The choice sees no cache: histories are computed again.
+                // The endpoint choice ignores caches: histories are computed again.
                 Arguments.of(
                         "least loaded",
-                        Plays.longAmongShort(),
-                        OURS.withChoice(dataCentre -> PlainChoices.leastLoaded()),
+                        Scenarios.longAmongShort(),
+                        STANDARD.withChoice(dataCentre -> PlainChoices.leastLoaded()),
                         (ToDoubleFunction<Measures>) Measures::recomputedTokens,
                         3.0));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("mutations")
-    void callersGetLessWithoutTheRule(
-            String rule, Play play, Policy mutated, ToDoubleFunction<Measures> measure, double factor) {
-        PlayTable table = PlayTable.measure(play, List.of(OURS, mutated.named(rule)), SEEDS);
+    void measureDegradesWithoutTheRule(
+            String rule, Scenario scenario, Policy mutated, ToDoubleFunction<Measures> measure, double factor) {
+        ScenarioResults table = ScenarioResults.measure(scenario, List.of(STANDARD, mutated.named(rule)), SEEDS);
 
         assertWithMessage(rule)
                 .that(table.mean(rule, measure))
-                .isGreaterThan(factor * table.mean(OURS.name(), measure));
+                .isGreaterThan(factor * table.mean(STANDARD.name(), measure));
     }
 }
