--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/EscrowLimiter.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/EscrowLimiter.java
@@ -18,49 +18,53 @@
 import org.quetzalshunt.wire.message.LimitMessageCodec;
 import org.quetzalshunt.wire.message.MessageCodec;
 
-/** The project's own limits, the real code, over a fake network and a fake log. */
+/** Runs the production {@link FleetLimits} over a simulated network and a simulated log. */
 final class EscrowLimiter implements Limiter {
     private static final String SERVICE = "tutor-models";
     private static final long TICK_MILLIS = 10;
-    private static final long READ_MILLIS = 500;
-    private static final long APPEND_MILLIS = 20;
-    private static final long DETECTED_AFTER_MILLIS = 600;
-    private static final int FRAME_BYTES = 4;
+    private static final long LOG_READ_INTERVAL_MILLIS = 500;
+    private static final long LOG_APPEND_MILLIS = 20;
+    private static final long CRASH_DETECTED_AFTER_MILLIS = 600;
+    private static final int FRAME_HEADER_BYTES = 4;
 
     private final VirtualTime time;
     private final SplittableRandom random;
     private final List<FleetLimits> entries = new ArrayList<>();
     private final List<LimitGenerationRecord> log = new ArrayList<>();
     private final boolean[] dead;
-    private final int[] read;
+    private final int[] readOffsets;
     private long messages;
     private long bytes;
-    private long nanos;
+    private long processorNanos;
 
-    EscrowLimiter(VirtualTime time, Shape shape) {
+    EscrowLimiter(VirtualTime time, Parameters parameters) {
         this.time = time;
-        this.random = new SplittableRandom(shape.seed());
-        this.dead = new boolean[shape.entries()];
-        this.read = new int[shape.entries()];
-        for (int entry = 0; entry < shape.entries(); entry++) {
-            entries.add(start(entry, shape));
+        this.random = new SplittableRandom(parameters.seed());
+        this.dead = new boolean[parameters.entries()];
+        this.readOffsets = new int[parameters.entries()];
+        for (int entry = 0; entry < parameters.entries(); entry++) {
+            entries.add(start(entry, parameters));
         }
         List<Member> members = members();
         entries.forEach(limits -> limits.membersChanged(0, members));
     }
 
-    private FleetLimits start(int entry, Shape shape) {
+    private FleetLimits start(int entry, Parameters parameters) {
         FleetLimits limits = FleetLimits.create(
                 id(entry),
                 LimitSettings.defaults(),
                 LimitPort.of(
                         (to, message) -> send(entry, to, message),
-                        proposal -> time.after(APPEND_MILLIS, () -> log.add(proposal.record()))));
-        for (int account = 0; account < shape.accounts(); account++) {
-            limits.documentChanged(0, SERVICE, account(account), shape.rate(), shape.burst(), 1);
+                        proposal -> time.runAfter(LOG_APPEND_MILLIS, () -> log.add(proposal.record()))));
+        for (int account = 0; account < parameters.accounts(); account++) {
+            limits.documentChanged(0, SERVICE, account(account), parameters.rate(), parameters.burst(), 1);
         }
-        time.every(TICK_MILLIS, 1 + random.nextLong(TICK_MILLIS), () -> run(entry, () -> limits.tick(time.now())));
-        time.every(READ_MILLIS, 1 + random.nextLong(READ_MILLIS / 5), () -> run(entry, () -> read(entry)));
+        time.runEvery(
+                TICK_MILLIS, 1 + random.nextLong(TICK_MILLIS), () -> runTimed(entry, () -> limits.tick(time.now())));
+        time.runEvery(
+                LOG_READ_INTERVAL_MILLIS,
+                1 + random.nextLong(LOG_READ_INTERVAL_MILLIS / 5),
+                () -> runTimed(entry, () -> readLog(entry)));
         return limits;
     }
 
@@ -81,37 +85,37 @@
         return members;
     }
 
-    private void read(int entry) {
-        while (read[entry] < log.size()) {
-            entries.get(entry).onGeneration(time.now(), read[entry], log.get(read[entry]));
-            read[entry]++;
+    private void readLog(int entry) {
+        while (readOffsets[entry] < log.size()) {
+            entries.get(entry).onGeneration(time.now(), readOffsets[entry], log.get(readOffsets[entry]));
+            readOffsets[entry]++;
         }
         entries.get(entry).onLogRead(time.now(), time.now());
     }
 
-    private void run(int entry, Runnable action) {
+    private void runTimed(int entry, Runnable action) {
         if (dead[entry]) {
             return;
         }
         long started = System.nanoTime();
         action.run();
-        nanos += System.nanoTime() - started;
+        processorNanos += System.nanoTime() - started;
     }
 
     private void send(int from, String to, LimitMessage message) {
         long started = System.nanoTime();
         messages++;
-        bytes += FRAME_BYTES + MessageCodec.encode(LimitMessageCodec.write(message)).length;
+        bytes += FRAME_HEADER_BYTES + MessageCodec.encode(LimitMessageCodec.write(message)).length;
         int receiver = Integer.parseInt(to.substring("entry-".length()));
-        time.after(
+        time.runAfter(
                 1L + random.nextInt(2),
-                () -> run(receiver, () -> entries.get(receiver).onMessage(time.now(), id(from), message)));
-        nanos -= System.nanoTime() - started;
+                () -> runTimed(receiver, () -> entries.get(receiver).onMessage(time.now(), id(from), message)));
+        processorNanos -= System.nanoTime() - started;
     }
 
     @Override
     public void request(int entry, int account, Consumer<Boolean> admitted) {
-        run(entry, () -> {
+        runTimed(entry, () -> {
             Take take = entries.get(entry)
                     .take(
                             time.now(),
@@ -126,24 +130,24 @@
 
     @Override
     public int crash() {
-        int died = 0;
+        int crashed = 0;
         for (int entry = 0; entry < entries.size(); entry++) {
-            died = parts(entry) > parts(died) ? entry : died;
+            crashed = heldParts(entry) > heldParts(crashed) ? entry : crashed;
         }
-        dead[died] = true;
-        time.after(DETECTED_AFTER_MILLIS, () -> {
+        dead[crashed] = true;
+        time.runAfter(CRASH_DETECTED_AFTER_MILLIS, () -> {
             List<Member> members = members();
             entries.forEach(limits -> limits.membersChanged(time.now(), members));
         });
-        return died;
+        return crashed;
     }
 
-    private long parts(int entry) {
+    private long heldParts(int entry) {
         return entries.get(entry).status(time.now()).get(0).parts();
     }
 
     @Override
     public Cost cost() {
-        return new Cost(messages, bytes, nanos);
+        return new Cost(messages, bytes, processorNanos);
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/FixedShareLimiter.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/FixedShareLimiter.java
@@ -2,18 +2,18 @@
 
 import java.util.function.Consumer;
 
-/** Every entry has the same share for ever; no messages. */
+/** Gives each entry a fixed, equal share of every limit and sends no messages. */
 final class FixedShareLimiter implements Limiter {
     private final VirtualTime time;
     private final TokenBucket[][] buckets;
 
-    FixedShareLimiter(VirtualTime time, Shape shape) {
+    FixedShareLimiter(VirtualTime time, Parameters parameters) {
         this.time = time;
-        this.buckets = new TokenBucket[shape.entries()][shape.accounts()];
+        this.buckets = new TokenBucket[parameters.entries()][parameters.accounts()];
         for (TokenBucket[] entry : buckets) {
             for (int account = 0; account < entry.length; account++) {
-                double burst = shape.burst() / shape.entries();
-                entry[account] = new TokenBucket(shape.rate() / shape.entries(), burst, burst);
+                double burst = parameters.burst() / parameters.entries();
+                entry[account] = new TokenBucket(parameters.rate() / parameters.entries(), burst, burst);
             }
         }
     }
@@ -25,7 +25,7 @@
 
     @Override
     public int crash() {
-        // The dead entry's share stays with it: nobody else may use it.
+        // The other entries cannot use the share of the crashed entry.
         return 0;
     }
 
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/GossipLimiter.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/GossipLimiter.java
@@ -3,63 +3,69 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** Every entry admits by its own guess of the whole bucket and tells the others ten times a second what it admitted. */
+/**
+ * Admits at each entry by a local estimate of the fleet-wide bucket. Each entry sends its admissions to all others ten
+ * times a second.
+ */
 final class GossipLimiter implements Limiter {
-    private static final long ROUND_MILLIS = 100;
-    private static final int HEAD_BYTES = 12;
+    private static final long GOSSIP_INTERVAL_MILLIS = 100;
+    private static final int HEADER_BYTES = 12;
     private static final int ACCOUNT_BYTES = 12;
 
     private final VirtualTime time;
-    private final Shape shape;
+    private final Parameters parameters;
     private final SplittableRandom random;
-    private final TokenBucket[][] guesses;
-    private final int[][] untold;
+    private final TokenBucket[][] estimates;
+    private final int[][] unsentAdmissions;
     private final boolean[] dead;
     private long messages;
     private long bytes;
 
-    GossipLimiter(VirtualTime time, Shape shape) {
+    GossipLimiter(VirtualTime time, Parameters parameters) {
         this.time = time;
-        this.shape = shape;
-        this.random = new SplittableRandom(shape.seed());
-        this.guesses = new TokenBucket[shape.entries()][shape.accounts()];
-        this.untold = new int[shape.entries()][shape.accounts()];
-        this.dead = new boolean[shape.entries()];
-        for (int entry = 0; entry < shape.entries(); entry++) {
-            int teller = entry;
-            for (int account = 0; account < shape.accounts(); account++) {
-                guesses[entry][account] = new TokenBucket(shape.rate(), shape.burst(), shape.burst());
+        this.parameters = parameters;
+        this.random = new SplittableRandom(parameters.seed());
+        this.estimates = new TokenBucket[parameters.entries()][parameters.accounts()];
+        this.unsentAdmissions = new int[parameters.entries()][parameters.accounts()];
+        this.dead = new boolean[parameters.entries()];
+        for (int entry = 0; entry < parameters.entries(); entry++) {
+            int sender = entry;
+            for (int account = 0; account < parameters.accounts(); account++) {
+                estimates[entry][account] = new TokenBucket(parameters.rate(), parameters.burst(), parameters.burst());
             }
-            time.every(ROUND_MILLIS, 1 + random.nextLong(ROUND_MILLIS), () -> tell(teller));
+            time.runEvery(
+                    GOSSIP_INTERVAL_MILLIS, 1 + random.nextLong(GOSSIP_INTERVAL_MILLIS), () -> sendAdmissions(sender));
         }
     }
 
-    private void tell(int teller) {
-        for (int account = 0; account < shape.accounts(); account++) {
-            int admitted = untold[teller][account];
-            untold[teller][account] = 0;
-            if (admitted > 0 && !dead[teller]) {
-                tellOthers(teller, account, admitted);
+    private void sendAdmissions(int sender) {
+        for (int account = 0; account < parameters.accounts(); account++) {
+            int admitted = unsentAdmissions[sender][account];
+            unsentAdmissions[sender][account] = 0;
+            if (admitted > 0 && !dead[sender]) {
+                sendToOthers(sender, account, admitted);
             }
         }
     }
 
-    private void tellOthers(int teller, int account, int admitted) {
-        for (int entry = 0; entry < shape.entries(); entry++) {
-            int listener = entry;
-            if (listener != teller) {
+    private void sendToOthers(int sender, int account, int admitted) {
+        for (int entry = 0; entry < parameters.entries(); entry++) {
+            int receiver = entry;
+            if (receiver != sender) {
                 messages++;
-                bytes += HEAD_BYTES + ACCOUNT_BYTES;
-                time.after(1L + random.nextInt(2), () -> guesses[listener][account].take(time.now(), admitted));
+                bytes += HEADER_BYTES + ACCOUNT_BYTES;
+                time.runAfter(
+                        1L + random.nextInt(2),
+                        () -> estimates[receiver][account].takeUnconditionally(time.now(), admitted));
             }
         }
     }
 
     @Override
     public void request(int entry, int account, Consumer<Boolean> admitted) {
-        boolean taken = guesses[entry][account].tryTake(time.now());
+        boolean taken = estimates[entry][account].tryTake(time.now());
         if (taken) {
-            untold[entry][account]++;
+            unsentAdmissions[entry][account]++;
         }
         admitted.accept(taken);
     }
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/GrantorLimiter.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/GrantorLimiter.java
@@ -3,34 +3,37 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** One entry holds the bucket of every account; each request asks it. A dead grantor is replaced after its lease. */
+/**
+ * Keeps the buckets of all accounts at one entry, the grantor, which the other entries ask for each request. A crashed
+ * grantor is replaced when its lease has expired.
+ */
 final class GrantorLimiter implements Limiter {
-    /** The same lease and detection as the escrow's, so that both pay the same for a crash. */
+    /** Lease and detection times equal those of the escrow limiter, so that a crash costs both the same. */
     private static final long REPLACED_AFTER_MILLIS = 4_000;
 
-    private static final int BYTES_EACH_WAY = 40;
+    private static final int BYTES_PER_MESSAGE = 40;
 
     private final VirtualTime time;
-    private final Shape shape;
+    private final Parameters parameters;
     private final SplittableRandom random;
     private TokenBucket[] buckets;
     private int grantor;
     private boolean down;
     private long messages;
 
-    GrantorLimiter(VirtualTime time, Shape shape) {
+    GrantorLimiter(VirtualTime time, Parameters parameters) {
         this.time = time;
-        this.shape = shape;
-        this.random = new SplittableRandom(shape.seed());
-        this.buckets = buckets(shape.burst());
+        this.parameters = parameters;
+        this.random = new SplittableRandom(parameters.seed());
+        this.buckets = newBuckets(parameters.burst());
     }
 
-    private TokenBucket[] buckets(double level) {
-        TokenBucket[] made = new TokenBucket[shape.accounts()];
-        for (int account = 0; account < made.length; account++) {
-            made[account] = new TokenBucket(shape.rate(), shape.burst(), level);
+    private TokenBucket[] newBuckets(double level) {
+        TokenBucket[] created = new TokenBucket[parameters.accounts()];
+        for (int account = 0; account < created.length; account++) {
+            created[account] = new TokenBucket(parameters.rate(), parameters.burst(), level);
         }
-        return made;
+        return created;
     }
 
     @Override
@@ -41,33 +44,33 @@
         }
         messages += 2;
         if (down) {
-            time.after(200, () -> admitted.accept(false));
+            time.runAfter(200, () -> admitted.accept(false));
             return;
         }
-        time.after(oneWay(), () -> {
+        time.runAfter(oneWayDelayMillis(), () -> {
             boolean granted = !down && buckets[account].tryTake(time.now());
-            time.after(oneWay(), () -> admitted.accept(granted));
+            time.runAfter(oneWayDelayMillis(), () -> admitted.accept(granted));
         });
     }
 
-    private long oneWay() {
+    private long oneWayDelayMillis() {
         return 1L + random.nextInt(2);
     }
 
     @Override
     public int crash() {
-        int died = grantor;
+        int crashed = grantor;
         down = true;
-        time.after(REPLACED_AFTER_MILLIS, () -> {
+        time.runAfter(REPLACED_AFTER_MILLIS, () -> {
             down = false;
-            grantor = (died + 1) % shape.entries();
-            buckets = buckets(0);
+            grantor = (crashed + 1) % parameters.entries();
+            buckets = newBuckets(0);
         });
-        return died;
+        return crashed;
     }
 
     @Override
     public Cost cost() {
-        return new Cost(messages, messages * BYTES_EACH_WAY, 0);
+        return new Cost(messages, messages * BYTES_PER_MESSAGE, 0);
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/HeartbeatTraffic.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/HeartbeatTraffic.java
@@ -14,89 +14,94 @@
 import org.quetzalshunt.wire.generated.Message;
 import org.quetzalshunt.wire.message.MessageCodec;
 
-/** What heartbeats cost each entry, and how soon all know of a silent one. */
+/** Measures heartbeat traffic of each entry and the time until all entries detect that one has stopped sending. */
 final class HeartbeatTraffic {
     private static final long TICK_MILLIS = 100;
-    private static final long WARM_MILLIS = 10_000;
+    private static final long WARM_UP_MILLIS = 10_000;
     private static final long MEASURED_MILLIS = 20_000;
-    private static final int FRAME_BYTES = 4;
+    private static final int FRAME_HEADER_BYTES = 4;
 
     private final VirtualTime time = new VirtualTime();
     private final SplittableRandom random;
     private final List<Membership> views = new ArrayList<>();
     private long messages;
     private long bytes;
-    private long falselyDead;
-    private int silent = -1;
+    private long falselyDeadCount;
+    private int silentEntry = -1;
 
     private HeartbeatTraffic(long seed) {
         this.random = new SplittableRandom(seed);
     }
 
     /**
-     * Means of one entry.
+     * Mean heartbeat traffic of one entry.
      *
-     * @param entries entries
-     * @param messagesPerSecond heartbeats sent by one entry
-     * @param bytesPerSecond octets sent by one entry
-     * @param falselyDeadShare share of looks at a live entry that found it dead
-     * @param lastKnowsAfterMillis time from a silence until the last entry knows of it
+     * @param entries number of entries
+     * @param messagesPerSecond heartbeats per second sent by one entry
+     * @param bytesPerSecond octets per second sent by one entry
+     * @param falselyDeadShare share of checks of a live entry that reported it as dead
+     * @param allDetectedAfterMillis time from when an entry stops sending until all others report it as dead
      */
-    record Means(
+    record EntryMeans(
             int entries,
             double messagesPerSecond,
             double bytesPerSecond,
             double falselyDeadShare,
-            long lastKnowsAfterMillis) {}
+            long allDetectedAfterMillis) {}
 
-    static Means measure(int entries, long seed) {
-        return new HeartbeatTraffic(seed).play(entries);
+    static EntryMeans measure(int entries, long seed) {
+        return new HeartbeatTraffic(seed).simulate(entries);
     }
 
-    private Means play(int entries) {
-        List<Vm> list = new ArrayList<>();
+    private EntryMeans simulate(int entries) {
+        List<Vm> vms = new ArrayList<>();
         for (int entry = 0; entry < entries; entry++) {
-            list.add(new Vm("entry-" + entry, VmRole.ENTRY, "10.0.0.1", entry, "moshi-a", "", false));
+            vms.add(new Vm("entry-" + entry, VmRole.ENTRY, "10.0.0.1", entry, "moshi-a", "", false));
         }
         for (int entry = 0; entry < entries; entry++) {
-            start(entry, list);
+            start(entry, vms);
         }
-        time.run(WARM_MILLIS);
+        time.advanceTo(WARM_UP_MILLIS);
         messages = 0;
         bytes = 0;
-        long looks = 0;
-        for (long at = WARM_MILLIS; at < WARM_MILLIS + MEASURED_MILLIS; at += 1_000) {
-            time.run(at);
+        long observations = 0;
+        for (long atMillis = WARM_UP_MILLIS; atMillis < WARM_UP_MILLIS + MEASURED_MILLIS; atMillis += 1_000) {
+            time.advanceTo(atMillis);
             for (Membership view : views) {
-                falselyDead += entries - view.liveEntries().size();
-                looks += entries;
+                falselyDeadCount += entries - view.liveEntries().size();
+                observations += entries;
             }
         }
         double entrySeconds = entries * MEASURED_MILLIS / 1_000.0;
-        double messagesEach = messages / entrySeconds;
-        double bytesEach = bytes / entrySeconds;
-        return new Means(entries, messagesEach, bytesEach, falselyDead / (double) looks, lastKnows(entries));
+        double messagesPerEntry = messages / entrySeconds;
+        double bytesPerEntry = bytes / entrySeconds;
+        return new EntryMeans(
+                entries,
+                messagesPerEntry,
+                bytesPerEntry,
+                falselyDeadCount / (double) observations,
+                detectionMillis(entries));
     }
 
-    private long lastKnows(int entries) {
-        silent = entries - 1;
-        long struck = time.now();
-        boolean known = false;
-        while (!known && time.now() < struck + 30_000) {
-            time.run(time.now() + TICK_MILLIS);
-            known = views.subList(0, silent).stream()
-                    .noneMatch(
-                            view -> view.entry("entry-" + silent).orElseThrow().alive());
+    private long detectionMillis(int entries) {
+        silentEntry = entries - 1;
+        long silentSinceMillis = time.now();
+        boolean detectedByAll = false;
+        while (!detectedByAll && time.now() < silentSinceMillis + 30_000) {
+            time.advanceTo(time.now() + TICK_MILLIS);
+            detectedByAll = views.subList(0, silentEntry).stream()
+                    .noneMatch(view ->
+                            view.entry("entry-" + silentEntry).orElseThrow().alive());
         }
-        return time.now() - struck;
+        return time.now() - silentSinceMillis;
     }
 
-    private void start(int entry, List<Vm> list) {
-        Membership view = Membership.create(id(entry), list.get(entry), MembershipSettings.defaults());
-        view.onVmList(0, list);
+    private void start(int entry, List<Vm> vms) {
+        Membership view = Membership.create(id(entry), vms.get(entry), MembershipSettings.defaults());
+        view.onVmList(0, vms);
         views.add(view);
-        time.every(TICK_MILLIS, 1 + random.nextLong(TICK_MILLIS), () -> {
-            if (entry != silent) {
+        time.runEvery(TICK_MILLIS, 1 + random.nextLong(TICK_MILLIS), () -> {
+            if (entry != silentEntry) {
                 view.tick(time.now());
                 view.heartbeatTargets(time.now()).forEach(target -> send(view, target));
             }
@@ -111,10 +116,10 @@
         HeartbeatNews own = view.ownNews();
         List<HeartbeatNews> digest = view.digest(target);
         messages++;
-        bytes += FRAME_BYTES + MessageCodec.encode(message(own, digest)).length;
+        bytes += FRAME_HEADER_BYTES + MessageCodec.encode(message(own, digest)).length;
         int receiver = Integer.parseInt(target.substring("entry-".length()));
-        time.after(1L + random.nextInt(2), () -> {
-            if (receiver != silent) {
+        time.runAfter(1L + random.nextInt(2), () -> {
+            if (receiver != silentEntry) {
                 views.get(receiver).onHeartbeat(time.now(), own);
                 views.get(receiver).onDigest(time.now(), digest);
             }
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/Limiter.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/Limiter.java
@@ -2,34 +2,34 @@
 
 import java.util.function.Consumer;
 
-/** One way to hold accounts to their limits over several entries. */
+/** Strategy that enforces account limits over several entries. */
 interface Limiter {
-    /** A request of an account at an entry; the answer comes at once or up to 200 ms later. */
+    /** Handles a request of an account at an entry and reports whether it is admitted, at once or up to 200 ms later. */
     void request(int entry, int account, Consumer<Boolean> admitted);
 
-    /** The entry whose death costs most dies; its number is returned. */
+    /** Crashes the entry whose failure affects the limiter most, and returns its index. */
     int crash();
 
-    /** What crossed the network so far. */
+    /** Returns the total cost so far. */
     Cost cost();
 
     /**
-     * Sums over all entries.
+     * Total cost over all entries.
      *
      * @param messages messages sent
-     * @param bytes octets sent, in Thrift's compact form with four octets of frame
+     * @param bytes octets sent, in Thrift compact encoding with a four-octet frame header
      * @param processorNanos processor time spent in the limiter
      */
     record Cost(long messages, long bytes, long processorNanos) {}
 
     /**
-     * What a limiter is built for.
+     * Size of the fleet, limits and seed with which a limiter is created.
      *
-     * @param entries entries
-     * @param accounts accounts, all with the same limits
-     * @param rate requests a second of each account
-     * @param burst burst of each account
-     * @param seed of every choice by chance
+     * @param entries number of entries
+     * @param accounts number of accounts, all with the same limits
+     * @param rate rate of each account in requests per second
+     * @param burst burst of each account in requests
+     * @param seed seed of all random choices
      */
-    record Shape(int entries, int accounts, double rate, double burst, long seed) {}
+    record Parameters(int entries, int accounts, double rate, double burst, long seed) {}
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/LimitsCommand.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/LimitsCommand.java
@@ -14,21 +14,25 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Compares the ways to hold accounts to their limits, and measures what the limits and the heartbeats cost. */
+/** Compares limiters for fleet-wide account limits, and measures the traffic of the limiter and of heartbeats. */
 @Command(
         name = "limits",
         mixinStandardHelpOptions = true,
-        description = "Plays traffic against four kinds of fleet-wide limits in virtual time, and measures their cost.")
+        description =
+                "Compares four kinds of fleet-wide limits under simulated traffic in virtual time, and measures their cost.")
 public final class LimitsCommand implements Callable<Integer> {
     private static final double RATE = 100;
     private static final double BURST = 50;
-    private static final List<Integer> PLAYED_SIZES = List.of(3, 12);
-    private static final List<Integer> SIZES = List.of(3, 12, 48, 330);
-    private static final List<Integer> ACCOUNTS = List.of(50, 200, 800);
-    private static final int ACCOUNTS_AT_ALL_SIZES = 200;
-    private static final int ENTRIES_AT_ALL_ACCOUNTS = 12;
+    private static final List<Integer> COMPARED_ENTRY_COUNTS = List.of(3, 12);
+    private static final List<Integer> ENTRY_COUNTS = List.of(3, 12, 48, 330);
+    private static final List<Integer> ACCOUNT_COUNTS = List.of(50, 200, 800);
+    private static final int ACCOUNTS_FOR_ALL_ENTRY_COUNTS = 200;
+    private static final int ENTRIES_FOR_ALL_ACCOUNT_COUNTS = 12;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Seed of every choice (default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "Seed of all random choices (default: ${DEFAULT-VALUE}).")
     private long seed;
 
     @Option(names = "--json", description = "Prints JSON in place of tables.")
@@ -49,23 +53,25 @@
     @Override
     public Integer call() {
         ObjectNode root = Json.object();
-        ObjectNode plays = root.putObject("plays");
-        line(
+        ObjectNode scenarios = root.putObject("plays");
+        printLine(
                 "%-10s %7s %-12s %10s %10s %10s %10s %10s",
                 "play", "entries", "way", "overshoot", "wrong %", "admitted %", "messages/s", "bytes/s");
-        for (LimitPlay play : LimitPlay.all()) {
-            for (int entries : PLAYED_SIZES) {
-                compare(play, entries, plays.putObject(play.name() + ", " + entries + " entries"));
+        for (LimitPlay scenario : LimitPlay.all()) {
+            for (int entries : COMPARED_ENTRY_COUNTS) {
+                compareLimiters(scenario, entries, scenarios.putObject(scenario.name() + ", " + entries + " entries"));
             }
         }
-        line("%nlimits of one entry: %s", "accounts at a fifth of their rate at entries by chance, and idle");
-        line(
+        printLine("%nlimits of one entry: %s", "accounts at a fifth of their rate at random entries, and idle");
+        printLine(
                 "%8s %8s %10s %12s %10s %14s",
                 "entries", "accounts", "requests/s", "messages/s", "bytes/s", "processor ms/s");
-        costs().forEach(means -> cost(means, root.withArray("limits").addObject()));
-        line("%nheartbeats of one entry%s", "");
-        line("%8s %12s %10s %14s %16s", "entries", "messages/s", "bytes/s", "falsely dead %", "all know after ms");
-        SIZES.forEach(entries -> heartbeats(
+        measureLimiterTraffic()
+                .forEach(means ->
+                        printLimiterTraffic(means, root.withArray("limits").addObject()));
+        printLine("%nheartbeats of one entry%s", "");
+        printLine("%8s %12s %10s %14s %16s", "entries", "messages/s", "bytes/s", "falsely dead %", "all know after ms");
+        ENTRY_COUNTS.forEach(entries -> printHeartbeatTraffic(
                 HeartbeatTraffic.measure(entries, seed),
                 root.withArray("heartbeats").addObject()));
         if (json) {
@@ -74,39 +80,41 @@
         return 0;
     }
 
-    private void compare(LimitPlay play, int entries, ObjectNode node) {
+    private void compareLimiters(LimitPlay scenario, int entries, ObjectNode node) {
         limiters().forEach((name, factory) -> {
-            LimitPlay.Result result = play.play(factory, new Limiter.Shape(entries, 1, RATE, BURST, seed));
-            line(
+            LimitPlay.Result result = scenario.run(factory, new Limiter.Parameters(entries, 1, RATE, BURST, seed));
+            printLine(
                     "%-10s %7d %-12s %10.2f %10.3f %10.2f %10.1f %10.0f",
-                    play.name(),
+                    scenario.name(),
                     entries,
                     name,
                     result.overshoot(),
-                    result.wronglyRefused() * 100,
+                    result.wronglyRefusedShare() * 100,
                     result.admittedShare() * 100,
                     result.messagesPerSecond(),
                     result.bytesPerSecond());
             node.putObject(name)
                     .put("overshootTokens", result.overshoot())
-                    .put("wronglyRefusedShare", result.wronglyRefused())
+                    .put("wronglyRefusedShare", result.wronglyRefusedShare())
                     .put("admittedShare", result.admittedShare())
                     .put("messagesPerSecond", result.messagesPerSecond())
                     .put("bytesPerSecond", result.bytesPerSecond());
         });
     }
 
-    private List<ControlTraffic.Means> costs() {
-        List<ControlTraffic.Means> all = new ArrayList<>();
+    private List<LimiterTraffic.EntryMeans> measureLimiterTraffic() {
+        List<LimiterTraffic.EntryMeans> all = new ArrayList<>();
         for (boolean idle : new boolean[] {false, true}) {
-            SIZES.forEach(entries -> all.add(ControlTraffic.measure(entries, ACCOUNTS_AT_ALL_SIZES, idle, seed)));
+            ENTRY_COUNTS.forEach(
+                    entries -> all.add(LimiterTraffic.measure(entries, ACCOUNTS_FOR_ALL_ENTRY_COUNTS, idle, seed)));
         }
-        ACCOUNTS.forEach(accounts -> all.add(ControlTraffic.measure(ENTRIES_AT_ALL_ACCOUNTS, accounts, false, seed)));
+        ACCOUNT_COUNTS.forEach(
+                accounts -> all.add(LimiterTraffic.measure(ENTRIES_FOR_ALL_ACCOUNT_COUNTS, accounts, false, seed)));
         return all;
     }
 
-    private void cost(ControlTraffic.Means means, ObjectNode node) {
-        line(
+    private void printLimiterTraffic(LimiterTraffic.EntryMeans means, ObjectNode node) {
+        printLine(
                 "%8d %8d %10.0f %12.1f %10.0f %14.3f",
                 means.entries(),
                 means.accounts(),
@@ -122,22 +130,22 @@
                 .put("processorMillisPerSecondPerEntry", means.processorMillisPerSecond());
     }
 
-    private void heartbeats(HeartbeatTraffic.Means means, ObjectNode node) {
-        line(
+    private void printHeartbeatTraffic(HeartbeatTraffic.EntryMeans means, ObjectNode node) {
+        printLine(
                 "%8d %12.1f %10.0f %14.4f %16d",
                 means.entries(),
                 means.messagesPerSecond(),
                 means.bytesPerSecond(),
                 means.falselyDeadShare() * 100,
-                means.lastKnowsAfterMillis());
+                means.allDetectedAfterMillis());
         node.put("entries", means.entries())
                 .put("messagesPerSecondPerEntry", means.messagesPerSecond())
                 .put("bytesPerSecondPerEntry", means.bytesPerSecond())
                 .put("falselyDeadShare", means.falselyDeadShare())
-                .put("allKnowAfterMillis", means.lastKnowsAfterMillis());
+                .put("allKnowAfterMillis", means.allDetectedAfterMillis());
     }
 
-    private void line(String format, Object... values) {
+    private void printLine(String format, Object... values) {
         if (!json) {
             spec.commandLine().getOut().println(String.format(Locale.ROOT, format, values));
             spec.commandLine().getOut().flush();
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/PlayMeter.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/PlayMeter.java
@@ -2,44 +2,45 @@
 
 import java.util.function.Consumer;
 
-/** Judges every admission and refusal by one bucket for the whole fleet. */
+/** Compares each admission and refusal with a single token bucket for the whole fleet. */
 final class PlayMeter {
     private final VirtualTime time;
-    /** Runs below zero by as much as the worst window is over its bound. */
-    private final TokenBucket windows;
-    /** What one bucket would have admitted. */
-    private final TokenBucket ideal;
+    /** Counts actual admissions; falls below zero by the number of tokens by which a window exceeds its bound. */
+    private final TokenBucket admissions;
+    /** Reference bucket that decides which requests should have been admitted. */
+    private final TokenBucket reference;
 
-    private double lowest;
+    private double lowestLevel;
     private long offered;
     private long admitted;
     private long wronglyRefused;
 
-    PlayMeter(VirtualTime time, Limiter.Shape shape) {
+    PlayMeter(VirtualTime time, Limiter.Parameters parameters) {
         this.time = time;
-        this.windows = new TokenBucket(shape.rate(), shape.burst(), shape.burst());
-        this.ideal = new TokenBucket(shape.rate(), shape.burst(), shape.burst());
+        this.admissions = new TokenBucket(parameters.rate(), parameters.burst(), parameters.burst());
+        this.reference = new TokenBucket(parameters.rate(), parameters.burst(), parameters.burst());
     }
 
-    void request(Consumer<Consumer<Boolean>> ask) {
+    void request(Consumer<Consumer<Boolean>> forward) {
         offered++;
-        boolean hadToken = ideal.tryTake(time.now());
-        ask.accept(taken -> {
-            if (taken) {
+        boolean referenceAdmits = reference.tryTake(time.now());
+        forward.accept(isAdmitted -> {
+            if (isAdmitted) {
                 admitted++;
-                lowest = Math.min(lowest, windows.take(time.now(), 1));
-            } else if (hadToken) {
+                lowestLevel = Math.min(lowestLevel, admissions.takeUnconditionally(time.now(), 1));
+            } else if (referenceAdmits) {
                 wronglyRefused++;
             }
         });
     }
 
     double overshoot() {
-        // Sums of doubles are off by far less than this; a real overshoot is a whole token.
-        return -lowest < 1e-6 ? 0 : -lowest;
+        // Rounding errors of the summed doubles stay far below 1e-6, while a real overshoot is at least one whole
+        // token.
+        return -lowestLevel < 1e-6 ? 0 : -lowestLevel;
     }
 
-    double wronglyRefused() {
+    double wronglyRefusedShare() {
         return wronglyRefused / (double) offered;
     }
 
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/TokenBucket.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/TokenBucket.java
@@ -1,20 +1,20 @@
 package org.quetzalshunt.app.bench.limits;
 
-/** A plain token bucket in one place. */
+/** Token bucket without distribution over entries. */
 final class TokenBucket {
-    private final double perMilli;
+    private final double tokensPerMilli;
     private final double burst;
     private double level;
     private long updatedMillis;
 
-    TokenBucket(double perSecond, double burst, double level) {
-        this.perMilli = perSecond / 1_000;
+    TokenBucket(double tokensPerSecond, double burst, double level) {
+        this.tokensPerMilli = tokensPerSecond / 1_000;
         this.burst = burst;
         this.level = level;
     }
 
     boolean tryTake(long nowMillis) {
-        earn(nowMillis);
+        refill(nowMillis);
         if (level < 1) {
             return false;
         }
@@ -22,15 +22,15 @@
         return true;
     }
 
-    /** Takes even what is not there, and returns the level, which may be below zero. */
-    double take(long nowMillis, double tokens) {
-        earn(nowMillis);
+    /** Takes tokens regardless of the level, and returns the new level, which may be negative. */
+    double takeUnconditionally(long nowMillis, double tokens) {
+        refill(nowMillis);
         level -= tokens;
         return level;
     }
 
-    private void earn(long nowMillis) {
-        level = Math.min(burst, level + (nowMillis - updatedMillis) * perMilli);
+    private void refill(long nowMillis) {
+        level = Math.min(burst, level + (nowMillis - updatedMillis) * tokensPerMilli);
         updatedMillis = nowMillis;
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/VirtualTime.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/VirtualTime.java
@@ -2,16 +2,16 @@
 
 import java.util.PriorityQueue;
 
-/** Milliseconds that pass only from one planned action to the next. */
+/** Virtual clock and event queue, which advances directly from one scheduled action to the next. */
 final class VirtualTime {
-    private final PriorityQueue<Planned> planned = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>();
     private long nowMillis;
-    private long order;
+    private long sequence;
 
-    private record Planned(long millis, long order, Runnable action) implements Comparable<Planned> {
+    private record ScheduledAction(long millis, long sequence, Runnable action) implements Comparable<ScheduledAction> {
         @Override
-        public int compareTo(Planned other) {
-            return millis != other.millis ? Long.compare(millis, other.millis) : Long.compare(order, other.order);
+        public int compareTo(ScheduledAction other) {
+            return millis != other.millis ? Long.compare(millis, other.millis) : Long.compare(sequence, other.sequence);
         }
     }
 
@@ -19,20 +19,20 @@
         return nowMillis;
     }
 
-    void after(long millis, Runnable action) {
-        planned.add(new Planned(nowMillis + millis, order++, action));
+    void runAfter(long millis, Runnable action) {
+        queue.add(new ScheduledAction(nowMillis + millis, sequence++, action));
     }
 
-    void every(long millis, long firstMillis, Runnable action) {
-        after(firstMillis, () -> {
+    void runEvery(long millis, long firstMillis, Runnable action) {
+        runAfter(firstMillis, () -> {
             action.run();
-            every(millis, millis, action);
+            runEvery(millis, millis, action);
         });
     }
 
-    void run(long untilMillis) {
-        while (!planned.isEmpty() && planned.peek().millis() <= untilMillis) {
-            Planned next = planned.poll();
+    void advanceTo(long untilMillis) {
+        while (!queue.isEmpty() && queue.peek().millis() <= untilMillis) {
+            ScheduledAction next = queue.poll();
             nowMillis = next.millis();
             next.action().run();
         }
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/package-info.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measures the ways to hold a client account to its rate and burst over many entries, in virtual time and over a fake
- * network: what each lets through over the limit, what it refuses wrongly, and what its messages cost.
+ * Compares limiters that enforce a client account's rate and burst over many entries, in virtual time and over a
+ * simulated network: admissions over the limit, wrong refusals and message traffic.
  */
 package org.quetzalshunt.app.bench.limits;
