--- a/app/src/main/java/org/quetzalshunt/app/bench/capacity/ConfigurationCosts.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/capacity/ConfigurationCosts.java
@@ -11,50 +11,50 @@
 import org.quetzalshunt.core.document.ServiceLimits;
 import org.quetzalshunt.wire.record.ConfigurationRecordCodec;
 
-/** Measures the fold of the configuration over accounts of seven services. */
+/** Measures the cost of folding configuration records by the number of accounts of each of seven services. */
 final class ConfigurationCosts {
     private static final int SERVICES = 7;
     private static final int CHANGES = 50;
-    private static final double MICRO = 1_000;
+    private static final double NANOS_PER_MICRO = 1_000;
 
     private ConfigurationCosts() {}
 
-    /** Heap of a folded configuration by accounts of each service. */
-    static Slope heapByAccounts(List<Integer> sizes) {
-        List<Slope.Point> points = new ArrayList<>();
+    /** Heap of a folded configuration, by number of accounts of each service. */
+    static ScalingSeries heapByAccounts(List<Integer> sizes) {
+        List<ScalingSeries.Point> points = new ArrayList<>();
         for (int size : sizes) {
-            long before = Heap.used();
-            Configuration configuration = folded(size, 1);
-            points.add(new Slope.Point(size, Heap.used() - before));
+            long before = HeapUsage.usedBytes();
+            Configuration configuration = fold(size, 1);
+            points.add(new ScalingSeries.Point(size, HeapUsage.usedBytes() - before));
             if (configuration.documents().size() != SERVICES) {
                 throw new IllegalStateException("documents were not folded");
             }
         }
-        return new Slope("heap of a configuration of " + SERVICES + " services", "accounts", "octets", points);
+        return new ScalingSeries("heap of a configuration of " + SERVICES + " services", "accounts", "octets", points);
     }
 
-    /** Processor time to fold one change of a document, keys indexed anew, by accounts of each service. */
-    static Slope timeByAccounts(List<Integer> sizes) {
-        List<Slope.Point> points = new ArrayList<>();
-        sizes.forEach(size -> folded(size, CHANGES / SERVICES));
+    /** Time to fold one document change, including the rebuilt key index, by number of accounts of each service. */
+    static ScalingSeries timeByAccounts(List<Integer> sizes) {
+        List<ScalingSeries.Point> points = new ArrayList<>();
+        sizes.forEach(size -> fold(size, CHANGES / SERVICES));
         for (int size : sizes) {
-            long started = System.nanoTime();
-            folded(size, CHANGES / SERVICES);
-            points.add(new Slope.Point(size, (System.nanoTime() - started) / MICRO / CHANGES));
+            long startNanos = System.nanoTime();
+            fold(size, CHANGES / SERVICES);
+            points.add(new ScalingSeries.Point(size, (System.nanoTime() - startNanos) / NANOS_PER_MICRO / CHANGES));
         }
-        return new Slope("fold of one change", "accounts", "microseconds", points);
+        return new ScalingSeries("fold of one change", "accounts", "microseconds", points);
     }
 
-    /** Octets of one change in the stream by accounts of the service. */
-    static Slope octetsByAccounts(List<Integer> sizes) {
-        List<Slope.Point> points = new ArrayList<>();
+    /** Octets of one change in the stream, by number of accounts of the service. */
+    static ScalingSeries octetsByAccounts(List<Integer> sizes) {
+        List<ScalingSeries.Point> points = new ArrayList<>();
         for (int size : sizes) {
-            points.add(new Slope.Point(size, record(0, -1, size).length));
+            points.add(new ScalingSeries.Point(size, record(0, -1, size).length));
         }
-        return new Slope("record of one change", "accounts", "octets", points);
+        return new ScalingSeries("record of one change", "accounts", "octets", points);
     }
 
-    private static Configuration folded(int accounts, int rounds) {
+    private static Configuration fold(int accounts, int rounds) {
         Configuration configuration = Configuration.create(ConfigurationRecordCodec::decode);
         long offset = 0;
         for (int round = 0; round < rounds; round++) {
--- a/app/src/main/java/org/quetzalshunt/app/bench/capacity/Heap.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/capacity/HeapUsage.java
@@ -1,10 +1,10 @@
 package org.quetzalshunt.app.bench.capacity;
 
-/** Reads how much heap is in use, after asking for a collection twice. */
-final class Heap {
-    private Heap() {}
+/** Measures the used heap after requesting two garbage collections. */
+final class HeapUsage {
+    private HeapUsage() {}
 
-    static long used() {
+    static long usedBytes() {
         System.gc();
         System.gc();
         Runtime runtime = Runtime.getRuntime();
--- a/app/src/main/java/org/quetzalshunt/app/bench/capacity/LogCosts.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/capacity/LogCosts.java
@@ -8,29 +8,29 @@
 import org.quetzalshunt.core.log.StreamSession;
 import org.quetzalshunt.core.log.StreamSettings;
 
-/** Counts a stream's appends under a rising rate of records, in virtual time. */
+/** Counts the log appends of one stream at several record rates, in virtual time. */
 final class LogCosts {
     private static final long COMMIT_MILLIS = 50;
-    private static final int SECONDS = 20;
+    private static final int DURATION_SECONDS = 20;
     private static final int MILLIS_PER_SECOND = 1_000;
     private static final int RECORD_BYTES = 2_000;
 
     private LogCosts() {}
 
-    /** Appends a second of one stream by records a second. */
-    static Slope appendsByRecords(List<Integer> rates) {
-        List<Slope.Point> points = new ArrayList<>();
+    /** Appends per second of one stream, by records per second. */
+    static ScalingSeries appendsByRecords(List<Integer> rates) {
+        List<ScalingSeries.Point> points = new ArrayList<>();
         for (int rate : rates) {
-            points.add(new Slope.Point(rate, appends(rate)));
+            points.add(new ScalingSeries.Point(rate, appendsPerSecond(rate)));
         }
-        return new Slope(
+        return new ScalingSeries(
                 "appends of one stream at a commit interval of " + COMMIT_MILLIS + " ms",
                 "recordsPerSecond",
                 "appendsPerSecond",
                 points);
     }
 
-    private static double appends(int rate) {
+    private static double appendsPerSecond(int rate) {
         Transport transport = new Transport();
         LogFold fold = new LogFold() {
             @Override
@@ -41,38 +41,38 @@
         };
         StreamSession session =
                 StreamSession.create("shard-0", StreamSettings.onDemand(COMMIT_MILLIS, 1), "entry#1", transport, fold);
-        double due = 0;
-        for (long now = 0; now < (long) SECONDS * MILLIS_PER_SECOND; now++) {
-            due += rate / (double) MILLIS_PER_SECOND;
-            for (; due >= 1; due--) {
+        double dueRecords = 0;
+        for (long now = 0; now < (long) DURATION_SECONDS * MILLIS_PER_SECOND; now++) {
+            dueRecords += rate / (double) MILLIS_PER_SECOND;
+            for (; dueRecords >= 1; dueRecords--) {
                 session.submit(now, new byte[RECORD_BYTES], submission -> {});
             }
             session.tick(now);
-            if (transport.readUnderWay) {
-                transport.readUnderWay = false;
+            if (transport.readPending) {
+                transport.readPending = false;
                 session.onRead(now, new ReadAnswer(0, transport.appends, List.of()));
             }
-            if (transport.underWay) {
-                transport.underWay = false;
+            if (transport.appendPending) {
+                transport.appendPending = false;
                 session.onAppended(now, transport.appends++);
             }
         }
-        return transport.appends / (double) SECONDS;
+        return transport.appends / (double) DURATION_SECONDS;
     }
 
     private static final class Transport implements LogTransport {
-        private boolean underWay;
-        private boolean readUnderWay;
+        private boolean appendPending;
+        private boolean readPending;
         private long appends;
 
         @Override
         public void append(String stream, byte[] batch) {
-            underWay = true;
+            appendPending = true;
         }
 
         @Override
         public void read(String stream, long from, long waitMillis) {
-            readUnderWay = true;
+            readPending = true;
         }
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/capacity/MembershipCosts.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/capacity/MembershipCosts.java
@@ -13,31 +13,33 @@
 import org.quetzalshunt.wire.generated.Message;
 import org.quetzalshunt.wire.message.MessageCodec;
 
-/** Counts a node's heartbeats and their octets by the number of entries, in virtual time. */
+/** Measures the heartbeat octets and membership time of one entry by the number of entries, in virtual time. */
 final class MembershipCosts {
-    private static final int SECONDS = 10;
+    private static final int DURATION_SECONDS = 10;
     private static final int MILLIS_PER_SECOND = 1_000;
     private static final int STEP_MILLIS = 100;
     private static final long SHARDS = 16;
 
     private MembershipCosts() {}
 
-    /** Octets of heartbeats that one entry sends a second. */
-    static Slope octetsByEntries(List<Integer> sizes) {
-        List<Slope.Point> points = new ArrayList<>();
-        sizes.forEach(size -> points.add(new Slope.Point(size, run(size).octets / (double) SECONDS)));
-        return new Slope("heartbeats sent by one entry", "entries", "octetsPerSecond", points);
+    /** Octets of heartbeats that one entry sends per second. */
+    static ScalingSeries octetsByEntries(List<Integer> sizes) {
+        List<ScalingSeries.Point> points = new ArrayList<>();
+        sizes.forEach(
+                size -> points.add(new ScalingSeries.Point(size, simulate(size).octets / (double) DURATION_SECONDS)));
+        return new ScalingSeries("heartbeats sent by one entry", "entries", "octetsPerSecond", points);
     }
 
-    /** Processor time that one entry spends on membership a second. */
-    static Slope timeByEntries(List<Integer> sizes) {
-        List<Slope.Point> points = new ArrayList<>();
-        sizes.forEach(MembershipCosts::run);
-        sizes.forEach(size -> points.add(new Slope.Point(size, run(size).micros / (double) SECONDS)));
-        return new Slope("membership at one entry", "entries", "microsecondsPerSecond", points);
+    /** Processor time that one entry spends on membership per second. */
+    static ScalingSeries timeByEntries(List<Integer> sizes) {
+        List<ScalingSeries.Point> points = new ArrayList<>();
+        sizes.forEach(MembershipCosts::simulate);
+        sizes.forEach(
+                size -> points.add(new ScalingSeries.Point(size, simulate(size).micros / (double) DURATION_SECONDS)));
+        return new ScalingSeries("membership at one entry", "entries", "microsecondsPerSecond", points);
     }
 
-    private static Cost run(int entries) {
+    private static Cost simulate(int entries) {
         List<Vm> vms = new ArrayList<>();
         for (int number = 0; number < entries; number++) {
             vms.add(new Vm("entry-" + number, VmRole.ENTRY, "127.0.0.1", 1, "a", "", false));
@@ -45,20 +47,20 @@
         Membership membership = Membership.create(VmId.of("entry-0", 1), vms.get(0), MembershipSettings.defaults());
         membership.onVmList(0, vms);
         Cost cost = new Cost();
-        long started = System.nanoTime();
-        for (long now = 0; now < (long) SECONDS * MILLIS_PER_SECOND; now += STEP_MILLIS) {
-            hear(membership, now, entries);
+        long startNanos = System.nanoTime();
+        for (long now = 0; now < (long) DURATION_SECONDS * MILLIS_PER_SECOND; now += STEP_MILLIS) {
+            receiveHeartbeats(membership, now, entries);
             membership.tick(now);
             for (String target : membership.heartbeatTargets(now)) {
                 cost.octets += MessageCodec.encode(heartbeat(membership, target)).length + Integer.BYTES;
             }
         }
-        cost.micros = (System.nanoTime() - started) / 1_000;
+        cost.micros = (System.nanoTime() - startNanos) / 1_000;
         return cost;
     }
 
-    /** Each other entry is heard once a second, as through a gossip round. */
-    private static void hear(Membership membership, long now, int entries) {
+    /** Delivers one heartbeat per second from each other entry, as a gossip round would. */
+    private static void receiveHeartbeats(Membership membership, long now, int entries) {
         long step = now / STEP_MILLIS;
         for (int number = 1; number < entries; number++) {
             if (number % 10 == step % 10) {
@@ -71,15 +73,15 @@
     private static Message heartbeat(Membership membership, String target) {
         Heartbeat heartbeat = new Heartbeat("entry-0", 1, 5, 10, false, shards(), 1_000_000_000_000L);
         heartbeat.setEchoedSentMillis(1_000_000_000_000L);
-        for (HeartbeatNews word : membership.digest(target)) {
+        for (HeartbeatNews news : membership.digest(target)) {
             heartbeat.addToDigest(new HeartbeatWord(
-                    word.vm(),
-                    word.incarnation(),
-                    word.beat(),
-                    word.configurationNext(),
-                    word.configurationAgeMillis(),
-                    word.leaving(),
-                    word.ownedShards()));
+                    news.vm(),
+                    news.incarnation(),
+                    news.beat(),
+                    news.configurationNext(),
+                    news.configurationAgeMillis(),
+                    news.leaving(),
+                    news.ownedShards()));
         }
         return Message.heartbeat(heartbeat);
     }
--- a/app/src/main/java/org/quetzalshunt/app/bench/capacity/MessageCosts.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/capacity/MessageCosts.java
@@ -8,25 +8,25 @@
 import org.quetzalshunt.wire.generated.Message;
 import org.quetzalshunt.wire.message.MessageCodec;
 
-/** Octets of the messages of which there are many. */
+/** Measures the encoded size of frequently sent messages. */
 final class MessageCosts {
     private static final double REPORTS_PER_SECOND = 2;
 
     private MessageCosts() {}
 
-    /** Octets on a link for one token's chunk by octets of its data. */
-    static Slope octetsByChunk(List<Integer> sizes) {
-        List<Slope.Point> points = new ArrayList<>();
+    /** Octets on a link of the chunk that carries one token, by octets of its data. */
+    static ScalingSeries octetsByChunk(List<Integer> sizes) {
+        List<ScalingSeries.Point> points = new ArrayList<>();
         for (int size : sizes) {
             Message chunk =
                     Message.attemptChunk(new AttemptChunk(Long.MAX_VALUE, 100, ByteBuffer.wrap(new byte[size])));
-            points.add(new Slope.Point(size, framed(chunk)));
+            points.add(new ScalingSeries.Point(size, framedLength(chunk)));
         }
-        return new Slope("frame of one chunk", "dataOctets", "octets", points);
+        return new ScalingSeries("frame of one chunk", "dataOctets", "octets", points);
     }
 
-    /** Octets a second of load reports by links that one sidecar has, or sidecars that one entry has. */
-    static Slope reports(List<Integer> links) {
+    /** Octets per second of load reports, by links of one sidecar or, equally, sidecars linked to one entry. */
+    static ScalingSeries octetsOfReports(List<Integer> links) {
         EndpointReport report = new EndpointReport(
                 "engine-1234",
                 1_000_000_000_000L,
@@ -41,13 +41,13 @@
                 true,
                 40,
                 900);
-        double octets = framed(Message.endpointReport(report)) * REPORTS_PER_SECOND;
-        List<Slope.Point> points = new ArrayList<>();
-        links.forEach(count -> points.add(new Slope.Point(count, count * octets)));
-        return new Slope("load reports of idle endpoints", "links", "octetsPerSecond", points);
+        double octets = framedLength(Message.endpointReport(report)) * REPORTS_PER_SECOND;
+        List<ScalingSeries.Point> points = new ArrayList<>();
+        links.forEach(count -> points.add(new ScalingSeries.Point(count, count * octets)));
+        return new ScalingSeries("load reports of idle endpoints", "links", "octetsPerSecond", points);
     }
 
-    private static int framed(Message message) {
+    private static int framedLength(Message message) {
         return MessageCodec.encode(message).length + Integer.BYTES;
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/capacity/ProgramCosts.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/capacity/ProgramCosts.java
@@ -22,14 +22,14 @@
 import org.quetzalshunt.core.vm.VmId;
 import org.quetzalshunt.wire.record.ShardRecords;
 
-/** Drives a real shard, with a log that keeps each record at once, and measures what its programs cost. */
+/** Measures the cost of programs in a production shard whose log stores each record immediately. */
 final class ProgramCosts implements ShardListener {
-    private static final int SUB_MILLIS = 1_000_000;
+    private static final int NANOS_PER_MILLI = 1_000_000;
     private static final VmId SELF = VmId.of("entry-0", 1);
-    private static final long NOW = 1_000_000_000_000L;
+    private static final long NOW_MILLIS = 1_000_000_000_000L;
 
     private final Shard shard;
-    private final List<TurnStart> started = new ArrayList<>();
+    private final List<TurnStart> startedTurns = new ArrayList<>();
     private long offset;
     private long recordBytes;
 
@@ -44,78 +44,86 @@
         whenFolded.accept(true);
     }
 
-    /** Heap of idle programs by number, each with a history of so many octets. */
-    static Slope heapByPrograms(List<Integer> sizes, int turns, int turnBytes) {
-        List<Slope.Point> points = new ArrayList<>();
+    /** Heap of idle programs, by number of programs, each with the given turns and octets per turn. */
+    static ScalingSeries heapByPrograms(List<Integer> sizes, int turns, int turnBytes) {
+        List<ScalingSeries.Point> points = new ArrayList<>();
         for (int size : sizes) {
-            long before = Heap.used();
+            long before = HeapUsage.usedBytes();
             ProgramCosts costs = new ProgramCosts();
-            costs.fill(size, turns, turnBytes);
-            points.add(new Slope.Point(size, Heap.used() - before));
+            costs.createPrograms(size, turns, turnBytes);
+            points.add(new ScalingSeries.Point(size, HeapUsage.usedBytes() - before));
             costs.shard.tick(0);
         }
         String name = "heap of idle programs of " + turns + " turns and " + turns * turnBytes + " octets";
-        return new Slope(name, "programs", "octets", points);
+        return new ScalingSeries(name, "programs", "octets", points);
     }
 
-    /** Heap of a fixed number of programs by octets of history. */
-    static Slope heapByHistory(int programs, List<Integer> turnCounts, int turnBytes) {
-        List<Slope.Point> points = new ArrayList<>();
+    /** Heap of a fixed number of programs, by total octets of history. */
+    static ScalingSeries heapByHistory(int programs, List<Integer> turnCounts, int turnBytes) {
+        List<ScalingSeries.Point> points = new ArrayList<>();
         for (int turns : turnCounts) {
-            long before = Heap.used();
+            long before = HeapUsage.usedBytes();
             ProgramCosts costs = new ProgramCosts();
-            costs.fill(programs, turns, turnBytes);
-            points.add(new Slope.Point((double) programs * turns * turnBytes, Heap.used() - before));
+            costs.createPrograms(programs, turns, turnBytes);
+            points.add(new ScalingSeries.Point((double) programs * turns * turnBytes, HeapUsage.usedBytes() - before));
             costs.shard.tick(0);
         }
-        return new Slope("heap of " + programs + " programs", "historyOctets", "octets", points);
+        return new ScalingSeries("heap of " + programs + " programs", "historyOctets", "octets", points);
     }
 
-    /** Octets of the records of one turn by octets of its messages and answer. */
-    static Slope recordByTurn(List<Integer> turnBytes) {
-        List<Slope.Point> points = new ArrayList<>();
+    /** Octets of the log records of one turn, by octets of its messages and answer. */
+    static ScalingSeries recordByTurn(List<Integer> turnBytes) {
+        List<ScalingSeries.Point> points = new ArrayList<>();
         for (int bytes : turnBytes) {
             ProgramCosts costs = new ProgramCosts();
-            costs.fill(1, 1, bytes);
+            costs.createPrograms(1, 1, bytes);
             long before = costs.recordBytes;
-            costs.turn("p-0", 2, bytes);
-            points.add(new Slope.Point(bytes, costs.recordBytes - before));
+            costs.runTurn("p-0", 2, bytes);
+            points.add(new ScalingSeries.Point(bytes, costs.recordBytes - before));
         }
-        return new Slope("octets appended for one turn", "turnOctets", "octets", points);
+        return new ScalingSeries("octets appended for one turn", "turnOctets", "octets", points);
     }
 
-    /** Processor time of a turn at its owner, without network, by turns done before. */
-    static Slope timeByTurns(List<Integer> counts, int turnBytes) {
-        List<Slope.Point> points = new ArrayList<>();
-        new ProgramCosts().fill(200, 20, turnBytes);
+    /** Time that the owner takes for turns, without network, by number of turns. */
+    static ScalingSeries timeByTurns(List<Integer> counts, int turnBytes) {
+        List<ScalingSeries.Point> points = new ArrayList<>();
+        new ProgramCosts().createPrograms(200, 20, turnBytes);
         for (int count : counts) {
             ProgramCosts costs = new ProgramCosts();
-            costs.fill(count / 20, 0, turnBytes);
-            long started = System.nanoTime();
+            costs.createPrograms(count / 20, 0, turnBytes);
+            long startNanos = System.nanoTime();
             for (int turn = 1; turn <= 20; turn++) {
                 for (int program = 0; program < count / 20; program++) {
-                    costs.turn("p-" + program, turn, turnBytes);
+                    costs.runTurn("p-" + program, turn, turnBytes);
                 }
             }
-            points.add(new Slope.Point(count, (System.nanoTime() - started) / (double) SUB_MILLIS));
+            points.add(new ScalingSeries.Point(count, (System.nanoTime() - startNanos) / (double) NANOS_PER_MILLI));
         }
-        return new Slope("time to start, record and fold turns", "turns", "milliseconds", points);
+        return new ScalingSeries("time to start, record and fold turns", "turns", "milliseconds", points);
     }
 
-    private void fill(int programs, int turns, int turnBytes) {
+    private void createPrograms(int programs, int turns, int turnBytes) {
         for (int number = 0; number < programs; number++) {
             String id = "p-" + number;
             shard.createProgram(
                     new ShardRecord.ProgramCreated(
-                            shard.epoch(), id, "account", Optional.empty(), Long.MAX_VALUE / 4, 0, NOW, false, id),
-                    made -> {});
+                            shard.epoch(),
+                            id,
+                            "account",
+                            Optional.empty(),
+                            Long.MAX_VALUE / 4,
+                            0,
+                            NOW_MILLIS,
+                            false,
+                            id),
+                    created -> {});
             for (int turn = 1; turn <= turns; turn++) {
-                turn(id, turn, turnBytes);
+                runTurn(id, turn, turnBytes);
             }
         }
     }
 
-    private void turn(String program, int turn, int turnBytes) {
+    private void runTurn(String program, int turn, int turnBytes) {
         byte[] message = text(program, turn, turnBytes / 2);
         TurnRequest request = new TurnRequest(
                 program + "-" + turn,
@@ -131,27 +139,27 @@
                 Long.MAX_VALUE,
                 ServiceLimits.defaults(),
                 "service");
-        shard.offerTurn(NOW, request);
-        TurnStart start = started.remove(started.size() - 1);
+        shard.offerTurn(NOW_MILLIS, request);
+        TurnStart start = startedTurns.remove(startedTurns.size() - 1);
         TurnUsage usage = new TurnUsage(start.contextTokens() + turnBytes / 8, 0, turnBytes / 8);
         byte[] answer = text("answer " + program, turn, turnBytes - turnBytes / 2);
         shard.endTurn(
-                NOW,
+                NOW_MILLIS,
                 start,
                 new TurnResult(answer, new StoredAnswer(200, "application/json", answer), usage),
-                kept -> {});
+                stored -> {});
     }
 
-    private static byte[] text(String start, int number, int length) {
+    private static byte[] text(String prefix, int number, int length) {
         byte[] bytes = new byte[length];
-        byte[] head = (start + number).getBytes(StandardCharsets.UTF_8);
+        byte[] head = (prefix + number).getBytes(StandardCharsets.UTF_8);
         System.arraycopy(head, 0, bytes, 0, Math.min(head.length, length));
         return bytes;
     }
 
     @Override
     public void onTurnStart(TurnStart start) {
-        started.add(start);
+        startedTurns.add(start);
     }
 
     @Override
--- a/app/src/main/java/org/quetzalshunt/app/bench/capacity/Slope.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/capacity/ScalingSeries.java
@@ -6,23 +6,23 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * One measured quantity over sizes.
+ * Values of one quantity measured at several sizes.
  *
  * @param name what was measured
- * @param size what the sizes count
+ * @param sizeName name of the quantity that the sizes count
  * @param unit unit of the values
- * @param points sizes with their values
+ * @param points measured values by size
  */
-record Slope(String name, String size, String unit, List<Point> points) {
+record ScalingSeries(String name, String sizeName, String unit, List<Point> points) {
     /**
      * One measurement.
      *
-     * @param size size
-     * @param value value at that size
+     * @param size size at which the value was measured
+     * @param value measured value
      */
     record Point(double size, double value) {}
 
-    /** Least-squares slope: units for one more of the size. */
+    /** Returns the slope of the least-squares line, in units of the value per unit of size. */
     double slope() {
         double meanSize = points.stream().mapToDouble(Point::size).average().orElse(0);
         double meanValue = points.stream().mapToDouble(Point::value).average().orElse(0);
@@ -38,10 +38,10 @@
     ObjectNode json() {
         ObjectNode node = Json.object();
         node.put("name", name);
-        node.put("size", size);
+        node.put("size", sizeName);
         node.put("unit", unit);
         ArrayNode values = node.putArray("points");
-        points.forEach(point -> values.addObject().put(size, point.size()).put(unit, point.value()));
+        points.forEach(point -> values.addObject().put(sizeName, point.size()).put(unit, point.value()));
         node.put("slope", slope());
         return node;
     }
