--- a/app/src/main/java/org/quetzalshunt/app/bench/DecisionsCommand.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/DecisionsCommand.java
@@ -32,7 +32,7 @@
 public final class DecisionsCommand implements Callable<Integer> {
     private static final Map<String, ToDoubleFunction<Measures>> COLUMNS = columns();
 
-    @Option(names = "--play", description = "Name of one scenario to run (default: all).")
+    @Option(names = "--play", description = "Name of one play, a load scenario (default: all).")
     private String play;
 
     @Option(names = "--seed", defaultValue = "1", description = "First seed (default: ${DEFAULT-VALUE}).")
@@ -94,7 +94,7 @@
         return List.of(Scenarios.find(play)
                 .orElseThrow(() -> new ParameterException(
                         spec.commandLine(),
-                        "--play: unknown scenario " + play + "; available scenarios: "
+                        "unknown play " + play + "; available: "
                                 + Scenarios.all().stream().map(Scenario::name).toList())));
     }
 
