--- a/app/src/main/java/org/quetzalshunt/app/bench/play/DecisionCost.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/DecisionCost.java
@@ -38,7 +38,7 @@
         this.random = new SplittableRandom(seed);
         for (int endpoint = 0; endpoint < endpoints; endpoint++) {
             String name = "engine-" + endpoint;
-            scheduler.endpointReported(
+            scheduler.recordReport(
                     0,
                     new EndpointState(
                             name,
@@ -113,7 +113,7 @@
         Dispatch ended = running.get(index);
         running.set(index, running.get(running.size() - 1));
         running.remove(running.size() - 1);
-        scheduler.finished(
+        scheduler.recordFinish(
                 nowMillis, ended.item().id(), Finish.ok(PROMPT_TOKENS, PROMPT_TOKENS - 100, OUTPUT_TOKENS, 50, 3_050));
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/ScenarioRun.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/ScenarioRun.java
@@ -106,7 +106,7 @@
         }
         if (nowMillis % PROGRESS_INTERVAL_MILLIS == 0) {
             attempts.forEach((id, attempt) -> entries.get(attempt.entry())
-                    .progressed(nowMillis, id, attempt.request().deliveredTokens()));
+                    .recordProgress(nowMillis, id, attempt.request().deliveredTokens()));
         }
         if (nowMillis <= scenario.arrivalMillis()) {
             unitsWhileArriving = fleet.unitsDone();
@@ -204,7 +204,7 @@
     }
 
     private void evictHistory(ProgramRun program, String cacheKey) {
-        entries.get(entryOf(program)).cacheForgotten(cacheKey);
+        entries.get(entryOf(program)).removePrefixLocation(cacheKey);
         for (int engine = 0; engine < fleet.size(); engine++) {
             fleet.engine(engine).evict(cacheKey);
         }
@@ -243,12 +243,12 @@
         recorder.attemptLost(attempt.request());
         Scheduler scheduler = entries.get(attempt.entry());
         long duration = nowMillis - attempt.request().dispatchedMillis;
-        scheduler.finished(
+        scheduler.recordFinish(
                 nowMillis,
                 attempt.request().id,
                 Finish.endpointFailed(attempt.request().deliveredTokens(), duration));
         Call call = attempt.call();
-        if (!scheduler.mayRetry(nowMillis, SimulatedFleet.SERVICE)) {
+        if (!scheduler.tryTakeRetry(nowMillis, SimulatedFleet.SERVICE)) {
             scheduleResend(call, RESEND_DELAY_MILLIS);
             return;
         }
@@ -266,7 +266,7 @@
         fleet.engine(attempt.engine()).cancel(request.id);
         long duration = nowMillis - request.dispatchedMillis;
         entries.get(attempt.entry())
-                .finished(nowMillis, request.id, Finish.cancelled(request.deliveredTokens(), duration));
+                .recordFinish(nowMillis, request.id, Finish.cancelled(request.deliveredTokens(), duration));
         scheduleResend(attempt.call(), RESEND_DELAY_MILLIS);
     }
 
@@ -275,7 +275,7 @@
         Call call = attempt.call();
         Scheduler scheduler = entries.get(attempt.entry());
         recorder.answered(nowMillis, call, request.cachedTokens);
-        scheduler.finished(
+        scheduler.recordFinish(
                 nowMillis,
                 request.id,
                 Finish.ok(
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/SimulatedFleet.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/SimulatedFleet.java
@@ -100,7 +100,7 @@
     }
 
     private void sendReport(long nowMillis, int engine, int running, int waiting, long lagMillis, Scheduler entry) {
-        entry.endpointReported(
+        entry.recordReport(
                 nowMillis,
                 new EndpointState(
                         name(engine),
@@ -129,7 +129,7 @@
                 lost.addAll(engine.crash());
             }
             if (nowMillis == fault.fromMillis() + VM_LIST_LAG_MILLIS) {
-                entries.forEach(entry -> entry.endpointRemoved(name(fault.engine())));
+                entries.forEach(entry -> entry.removeEndpoint(name(fault.engine())));
             }
             if (nowMillis == fault.untilMillis()) {
                 engine.restart();
--- a/core/src/main/java/org/quetzalshunt/core/decision/Scheduler.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/Scheduler.java
@@ -14,7 +14,7 @@
 /**
  * Facade of the scheduling decisions of one entry. Not thread-safe; one thread owns it.
  *
- * <p>Requests are added by {@link #offer} and started by {@link #tick}. They end by {@link #finished}, or leave the
+ * <p>Requests are added by {@link #offer} and started by {@link #tick}. They end by {@link #recordFinish}, or leave the
  * queue without running by {@link #expire} or {@link #withdraw}.
  */
 public final class Scheduler {
@@ -43,7 +43,7 @@
     }
 
     /** Updates the state of an endpoint; the first report of a name adds the endpoint. */
-    public void endpointReported(long nowMillis, EndpointState state) {
+    public void recordReport(long nowMillis, EndpointState state) {
         String before = serviceOfEndpoint.put(state.name(), state.service());
         if (before != null && !before.equals(state.service())) {
             service(before).endpoints().remove(state.name());
@@ -51,8 +51,8 @@
         service(state.service()).endpoints().recordReport(nowMillis, state);
     }
 
-    /** Removes an endpoint; requests that run there still end through {@link #finished}. */
-    public void endpointRemoved(String endpoint) {
+    /** Removes an endpoint; requests that run there still end through {@link #recordFinish}. */
+    public void removeEndpoint(String endpoint) {
         String service = serviceOfEndpoint.remove(endpoint);
         if (service == null) {
             return;
@@ -141,7 +141,7 @@
     }
 
     /** Corrects the charge of a running request by the output that it has delivered so far. */
-    public void progressed(long nowMillis, long id, long outputTokens) {
+    public void recordProgress(long nowMillis, long id, long outputTokens) {
         RunningItem row = running.get(id);
         if (row != null) {
             service(row.item().service()).progressed(nowMillis, row, outputTokens);
@@ -149,7 +149,7 @@
     }
 
     /** Ends an attempt. An unknown id is ignored, since the end of an attempt can be reported twice. */
-    public void finished(long nowMillis, long id, Finish finish) {
+    public void recordFinish(long nowMillis, long id, Finish finish) {
         RunningItem row = running.remove(id);
         if (row != null) {
             service(row.item().service()).finished(nowMillis, row, finish);
@@ -157,7 +157,7 @@
     }
 
     /** Removes the location of a program's prefix, because the program ended or its cache was freed. */
-    public void cacheForgotten(String cacheKey) {
+    public void removePrefixLocation(String cacheKey) {
         prefixLocations.remove(cacheKey);
         for (ServiceLoad service : serviceList) {
             service.programs().remove(cacheKey);
@@ -170,7 +170,7 @@
     }
 
     /** Takes one retry from the service's budget; false when the budget is spent. */
-    public boolean mayRetry(long nowMillis, String service) {
+    public boolean tryTakeRetry(long nowMillis, String service) {
         return service(service).retries().tryTake(nowMillis);
     }
 
--- a/core/src/test/java/org/quetzalshunt/core/decision/RulesTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/decision/RulesTest.java
@@ -74,7 +74,7 @@
         WorkItem quick = item("school", "quick", 12, 100);
         scheduler.offer(11, nextTurn, 0);
         scheduler.offer(12, withTurn(quick, 1), 0);
-        scheduler.finished(13, blocker.id(), answer(blocker));
+        scheduler.recordFinish(13, blocker.id(), answer(blocker));
 
         List<Long> started = startOneByOne(scheduler);
 
@@ -120,7 +120,7 @@
         for (int number = 0; number < 100; number++) {
             scheduler.offer(number, item("school", "program-" + number, number, 100), 0);
             for (Dispatch dispatch : scheduler.tick(number)) {
-                scheduler.finished(number, dispatch.item().id(), Finish.endpointFailed(0, 10));
+                scheduler.recordFinish(number, dispatch.item().id(), Finish.endpointFailed(0, 10));
             }
         }
 
@@ -139,8 +139,8 @@
         EndpointRules rules = EndpointRules.adaptive().withInitialLimit(slots -> slots);
         Scheduler scheduler = scheduler(rule.select(Policy.standard().withRules(rules)));
         report(scheduler, "engine-1", 32);
-        scheduler.endpointReported(20_000, state("engine-1", 32, false));
-        scheduler.endpointReported(30_000, state("engine-1", 32, true));
+        scheduler.recordReport(20_000, state("engine-1", 32, false));
+        scheduler.recordReport(30_000, state("engine-1", 32, true));
         for (int number = 0; number < 30; number++) {
             scheduler.offer(30_000, item("school", "program-" + number, 30_000, 100), 0);
         }
@@ -156,11 +156,11 @@
         Scheduler scheduler = scheduler(Policy.standard());
         int retries = 0;
         for (int number = 0; number < 1_000; number++) {
-            retries += scheduler.mayRetry(0, "tutor") ? 1 : 0;
+            retries += scheduler.tryTakeRetry(0, "tutor") ? 1 : 0;
         }
 
         assertThat(retries).isAtMost(64);
-        assertThat(scheduler.mayRetry(10_000, "tutor")).isTrue();
+        assertThat(scheduler.tryTakeRetry(10_000, "tutor")).isTrue();
     }
 
     /** Guards against a retry at the endpoint that failed the request, which may still be the least loaded. */
@@ -221,7 +221,7 @@
     }
 
     private static void report(Scheduler scheduler, String name, int slots) {
-        scheduler.endpointReported(0, state(name, slots, true));
+        scheduler.recordReport(0, state(name, slots, true));
     }
 
     private static EndpointState state(String name, int slots, boolean healthy) {
@@ -239,7 +239,7 @@
             now += 100;
             for (Dispatch dispatch : scheduler.tick(now)) {
                 started.add(dispatch.item().id());
-                scheduler.finished(now, dispatch.item().id(), answer(dispatch.item()));
+                scheduler.recordFinish(now, dispatch.item().id(), answer(dispatch.item()));
             }
         }
         return started;
--- a/core/src/test/java/org/quetzalshunt/core/decision/SchedulerTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/decision/SchedulerTest.java
@@ -14,7 +14,7 @@
 
     @Test
     void requestRunsAndItsPrefixLocationIsRecorded() {
-        scheduler.endpointReported(0, endpoint("engine-1", false));
+        scheduler.recordReport(0, endpoint("engine-1", false));
 
         assertThat(scheduler.offer(0, item(1), 10)).isEmpty();
         List<Dispatch> dispatches = scheduler.tick(0);
@@ -22,16 +22,16 @@
         assertThat(dispatches.get(0).endpoint()).isEqualTo("engine-1");
         assertThat(scheduler.running()).isEqualTo(1);
 
-        scheduler.finished(1_000, 1, Finish.ok(100, 0, 50, 100, 1_000));
+        scheduler.recordFinish(1_000, 1, Finish.ok(100, 0, 50, 100, 1_000));
         assertThat(scheduler.running()).isEqualTo(0);
         assertThat(scheduler.prefixEndpoint("program-1")).hasValue("engine-1");
-        scheduler.cacheForgotten("program-1");
+        scheduler.removePrefixLocation("program-1");
         assertThat(scheduler.prefixEndpoint("program-1")).isEmpty();
     }
 
     @Test
     void endpointThatShutsDownGetsNoWorkAndTheQueuedRequestExpiresNotRun() {
-        scheduler.endpointReported(0, endpoint("engine-1", true));
+        scheduler.recordReport(0, endpoint("engine-1", true));
 
         assertThat(scheduler.offer(0, item(1), 10)).isEmpty();
         assertThat(scheduler.tick(0)).isEmpty();
--- a/server/src/main/java/org/quetzalshunt/server/entry/CallRun.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/CallRun.java
@@ -178,7 +178,7 @@
                 && outcome.code() != ResultCode.DEADLINE_PASSED_RUNNING
                 && outcome.code() != ResultCode.STALE_EPOCH
                 && attemptCount < MAXIMUM_ATTEMPTS
-                && owner.workDispatcher().scheduler().mayRetry(owner.clock().now(), service);
+                && owner.workDispatcher().scheduler().tryTakeRetry(owner.clock().now(), service);
         if (retry) {
             start();
             return;
--- a/server/src/main/java/org/quetzalshunt/server/entry/ChatRun.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ChatRun.java
@@ -205,7 +205,7 @@
         boolean retry = isRetryable(outcome.code())
                 && attemptCount < MAXIMUM_ATTEMPTS
                 && !sink.started()
-                && owner.workDispatcher().scheduler().mayRetry(owner.clock().now(), body.service());
+                && owner.workDispatcher().scheduler().tryTakeRetry(owner.clock().now(), body.service());
         if (outcome.execution() == Execution.NOT_RUN) {
             retryOrFail(retry, outcome);
             return;
--- a/server/src/main/java/org/quetzalshunt/server/entry/LinkEventHandler.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/LinkEventHandler.java
@@ -67,7 +67,7 @@
         if (link.remote().role() == VmRole.SIDECAR) {
             attempts.linkClosed(link);
             if (attempts.link(link.remote().id().name()).isEmpty()) {
-                workDispatcher.scheduler().endpointRemoved(link.remote().id().name());
+                workDispatcher.scheduler().removeEndpoint(link.remote().id().name());
             }
             return;
         }
--- a/server/src/main/java/org/quetzalshunt/server/entry/OwnerContext.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/OwnerContext.java
@@ -61,6 +61,6 @@
 
     void onProgramEnded(String program) {
         cacheReleaser.accept(program);
-        workDispatcher.scheduler().cacheForgotten(program);
+        workDispatcher.scheduler().removePrefixLocation(program);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/WorkDispatcher.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/WorkDispatcher.java
@@ -49,17 +49,17 @@
     }
 
     void progressed(WorkItem item, long outputTokens) {
-        scheduler.progressed(clock.now(), item.id(), outputTokens);
+        scheduler.recordProgress(clock.now(), item.id(), outputTokens);
     }
 
     void finished(WorkItem item, Finish finish) {
         workById.remove(item.id());
-        scheduler.finished(clock.now(), item.id(), finish);
+        scheduler.recordFinish(clock.now(), item.id(), finish);
         tick();
     }
 
     void endpointReported(EndpointState state) {
-        scheduler.endpointReported(clock.now(), state);
+        scheduler.recordReport(clock.now(), state);
         tick();
     }
 
@@ -79,7 +79,7 @@
             for (Dispatch dispatch : scheduler.tick(clock.now())) {
                 QueuedWork work = workById.get(dispatch.item().id());
                 if (work == null) {
-                    scheduler.finished(clock.now(), dispatch.item().id(), Finish.cancelled(0, 0));
+                    scheduler.recordFinish(clock.now(), dispatch.item().id(), Finish.cancelled(0, 0));
                     continue;
                 }
                 work.onDispatched(dispatch);
