--- a/app/src/main/java/org/quetzalshunt/app/bench/play/ScenarioRun.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/ScenarioRun.java
@@ -8,7 +8,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import org.quetzalshunt.core.decision.Dispatch;
-import org.quetzalshunt.core.decision.Expired;
+import org.quetzalshunt.core.decision.ExpiredRequest;
 import org.quetzalshunt.core.decision.Finish;
 import org.quetzalshunt.core.decision.Policy;
 import org.quetzalshunt.core.decision.Scheduler;
@@ -212,7 +212,7 @@
 
     private void runScheduler(int entry) {
         Scheduler scheduler = entries.get(entry);
-        for (Expired expired : scheduler.expire(nowMillis)) {
+        for (ExpiredRequest expired : scheduler.expire(nowMillis)) {
             refused(offeredCalls.remove(expired.item().id()), expired.refusal());
         }
         for (Dispatch dispatch : scheduler.tick(nowMillis)) {
--- a/core/src/main/java/org/quetzalshunt/core/decision/Expired.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/ExpiredRequest.java
@@ -8,4 +8,4 @@
  * @param item the request
  * @param refusal the refusal that its caller receives
  */
-public record Expired(WorkItem item, Refusal refusal) {}
+public record ExpiredRequest(WorkItem item, Refusal refusal) {}
--- a/core/src/main/java/org/quetzalshunt/core/decision/Scheduler.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/Scheduler.java
@@ -132,8 +132,8 @@
     }
 
     /** Removes queued requests whose deadline has passed or can no longer be met. */
-    public List<Expired> expire(long nowMillis) {
-        List<Expired> expired = new ArrayList<>();
+    public List<ExpiredRequest> expire(long nowMillis) {
+        List<ExpiredRequest> expired = new ArrayList<>();
         for (ServiceLoad service : serviceList) {
             service.expire(nowMillis, expired);
         }
--- a/core/src/main/java/org/quetzalshunt/core/decision/ServiceLoad.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/ServiceLoad.java
@@ -211,7 +211,7 @@
         dispatches.add(new Dispatch(item, endpoint.name(), priority));
     }
 
-    void expire(long nowMillis, List<Expired> expired) {
+    void expire(long nowMillis, List<ExpiredRequest> expired) {
         while (!expiries.isEmpty() && expiries.peek().atMillis() <= nowMillis) {
             WaitingItem waiting = expiries.remove().waiting();
             if (waiting.isRemoved()) {
@@ -223,7 +223,7 @@
             Refusal refusal = passed
                     ? Refusal.notRun(ResultCode.DEADLINE_PASSED, ResultCode.DEADLINE_PASSED.meaning())
                     : deadlineUnreachable(AdmissionRule.boundedRetryMillis(0));
-            expired.add(new Expired(item, refusal));
+            expired.add(new ExpiredRequest(item, refusal));
         }
     }
 
--- a/core/src/test/java/org/quetzalshunt/core/decision/SchedulerTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/decision/SchedulerTest.java
@@ -35,7 +35,7 @@
 
         assertThat(scheduler.offer(0, item(1), 10)).isEmpty();
         assertThat(scheduler.tick(0)).isEmpty();
-        List<Expired> expired = scheduler.expire(DEADLINE_MILLIS);
+        List<ExpiredRequest> expired = scheduler.expire(DEADLINE_MILLIS);
         assertThat(expired).hasSize(1);
         assertThat(expired.get(0).refusal().execution()).isEqualTo(Execution.NOT_RUN);
         assertThat(scheduler.queued()).isEqualTo(0);
--- a/server/src/main/java/org/quetzalshunt/server/entry/WorkDispatcher.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/WorkDispatcher.java
@@ -5,7 +5,7 @@
 import org.agrona.collections.Long2ObjectHashMap;
 import org.quetzalshunt.core.decision.Dispatch;
 import org.quetzalshunt.core.decision.EndpointState;
-import org.quetzalshunt.core.decision.Expired;
+import org.quetzalshunt.core.decision.ExpiredRequest;
 import org.quetzalshunt.core.decision.Finish;
 import org.quetzalshunt.core.decision.Scheduler;
 import org.quetzalshunt.core.decision.WorkItem;
@@ -70,7 +70,7 @@
         }
         isDispatching = true;
         try {
-            for (Expired expired : scheduler.expire(clock.now())) {
+            for (ExpiredRequest expired : scheduler.expire(clock.now())) {
                 QueuedWork work = workById.remove(expired.item().id());
                 if (work != null) {
                     work.onExpired(expired.refusal());
