--- a/app/src/main/java/org/quetzalshunt/app/bench/play/DecisionCost.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/DecisionCost.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import org.quetzalshunt.core.decision.Dispatch;
 import org.quetzalshunt.core.decision.EndpointState;
-import org.quetzalshunt.core.decision.Finish;
+import org.quetzalshunt.core.decision.FinishedAttempt;
 import org.quetzalshunt.core.decision.Scheduler;
 import org.quetzalshunt.core.decision.SchedulerSettings;
 import org.quetzalshunt.core.decision.WorkItem;
@@ -114,6 +114,8 @@
         running.set(index, running.get(running.size() - 1));
         running.remove(running.size() - 1);
         scheduler.recordFinish(
-                nowMillis, ended.item().id(), Finish.ok(PROMPT_TOKENS, PROMPT_TOKENS - 100, OUTPUT_TOKENS, 50, 3_050));
+                nowMillis,
+                ended.item().id(),
+                FinishedAttempt.ok(PROMPT_TOKENS, PROMPT_TOKENS - 100, OUTPUT_TOKENS, 50, 3_050));
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/ScenarioRun.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/ScenarioRun.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.quetzalshunt.core.decision.Dispatch;
 import org.quetzalshunt.core.decision.ExpiredRequest;
-import org.quetzalshunt.core.decision.Finish;
+import org.quetzalshunt.core.decision.FinishedAttempt;
 import org.quetzalshunt.core.decision.Policy;
 import org.quetzalshunt.core.decision.Scheduler;
 import org.quetzalshunt.core.decision.SchedulerSettings;
@@ -246,7 +246,7 @@
         scheduler.recordFinish(
                 nowMillis,
                 attempt.request().id,
-                Finish.endpointFailed(attempt.request().deliveredTokens(), duration));
+                FinishedAttempt.endpointFailed(attempt.request().deliveredTokens(), duration));
         Call call = attempt.call();
         if (!scheduler.tryTakeRetry(nowMillis, SimulatedFleet.SERVICE)) {
             scheduleResend(call, RESEND_DELAY_MILLIS);
@@ -266,7 +266,7 @@
         fleet.engine(attempt.engine()).cancel(request.id);
         long duration = nowMillis - request.dispatchedMillis;
         entries.get(attempt.entry())
-                .recordFinish(nowMillis, request.id, Finish.cancelled(request.deliveredTokens(), duration));
+                .recordFinish(nowMillis, request.id, FinishedAttempt.cancelled(request.deliveredTokens(), duration));
         scheduleResend(attempt.call(), RESEND_DELAY_MILLIS);
     }
 
@@ -278,7 +278,7 @@
         scheduler.recordFinish(
                 nowMillis,
                 request.id,
-                Finish.ok(
+                FinishedAttempt.ok(
                         call.promptTokens,
                         request.cachedTokens,
                         call.outputTokens,
--- a/core/src/main/java/org/quetzalshunt/core/decision/Finish.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/FinishedAttempt.java
@@ -10,7 +10,7 @@
  * @param timeToFirstTokenMillis time from dispatch to the first token; zero if there was none
  * @param durationMillis time from dispatch to the end
  */
-public record Finish(
+public record FinishedAttempt(
         FinishKind kind,
         long promptTokens,
         long cachedTokens,
@@ -19,19 +19,19 @@
         long durationMillis) {
 
     /** Result of an attempt with a complete answer. */
-    public static Finish ok(
+    public static FinishedAttempt ok(
             long promptTokens, long cachedTokens, long outputTokens, long timeToFirstTokenMillis, long durationMillis) {
-        return new Finish(
+        return new FinishedAttempt(
                 FinishKind.OK, promptTokens, cachedTokens, outputTokens, timeToFirstTokenMillis, durationMillis);
     }
 
     /** Result of an attempt that failed because of the endpoint. */
-    public static Finish endpointFailed(long outputTokens, long durationMillis) {
-        return new Finish(FinishKind.ENDPOINT_FAILED, 0, 0, outputTokens, 0, durationMillis);
+    public static FinishedAttempt endpointFailed(long outputTokens, long durationMillis) {
+        return new FinishedAttempt(FinishKind.ENDPOINT_FAILED, 0, 0, outputTokens, 0, durationMillis);
     }
 
     /** Result of an attempt that was cancelled because its caller no longer waits for it. */
-    public static Finish cancelled(long outputTokens, long durationMillis) {
-        return new Finish(FinishKind.CANCELLED, 0, 0, outputTokens, 0, durationMillis);
+    public static FinishedAttempt cancelled(long outputTokens, long durationMillis) {
+        return new FinishedAttempt(FinishKind.CANCELLED, 0, 0, outputTokens, 0, durationMillis);
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/decision/Scheduler.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/Scheduler.java
@@ -149,7 +149,7 @@
     }
 
     /** Ends an attempt. An unknown id is ignored, since the end of an attempt can be reported twice. */
-    public void recordFinish(long nowMillis, long id, Finish finish) {
+    public void recordFinish(long nowMillis, long id, FinishedAttempt finish) {
         RunningItem row = running.remove(id);
         if (row != null) {
             service(row.item().service()).finished(nowMillis, row, finish);
--- a/core/src/main/java/org/quetzalshunt/core/decision/ServiceLoad.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/ServiceLoad.java
@@ -235,7 +235,7 @@
         }
     }
 
-    void finished(long nowMillis, RunningItem row, Finish finish) {
+    void finished(long nowMillis, RunningItem row, FinishedAttempt finish) {
         WorkItem item = row.item();
         queue.recordEnd(item);
         queue.charge(nowMillis, item, row.adjustCharge(workOf(row, finish)), false);
@@ -246,7 +246,7 @@
         endpoints.recordEnd(nowMillis, endpoint, finish);
     }
 
-    private static long workOf(RunningItem row, Finish finish) {
+    private static long workOf(RunningItem row, FinishedAttempt finish) {
         return switch (finish.kind()) {
             case OK -> WorkCost.of(finish.promptTokens() - finish.cachedTokens(), finish.outputTokens());
             case CANCELLED ->
@@ -255,7 +255,7 @@
         };
     }
 
-    private void recordPrefix(long nowMillis, WorkItem item, TrackedEndpoint endpoint, Finish finish) {
+    private void recordPrefix(long nowMillis, WorkItem item, TrackedEndpoint endpoint, FinishedAttempt finish) {
         prefixLocations
                 .find(item.cacheKey())
                 .filter(location -> location.endpoint().equals(endpoint.name()))
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/ServiceEndpoints.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/ServiceEndpoints.java
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 import org.agrona.collections.Object2ObjectHashMap;
 import org.quetzalshunt.core.decision.EndpointState;
-import org.quetzalshunt.core.decision.Finish;
 import org.quetzalshunt.core.decision.FinishKind;
+import org.quetzalshunt.core.decision.FinishedAttempt;
 import org.quetzalshunt.core.decision.queue.WorkCost;
 
 /** The endpoints of one service, with their limits, failures and ejections, indexed by whether they have capacity. */
@@ -175,7 +175,7 @@
     }
 
     /** Records the end of an attempt. */
-    public void recordEnd(long nowMillis, TrackedEndpoint endpoint, Finish finish) {
+    public void recordEnd(long nowMillis, TrackedEndpoint endpoint, FinishedAttempt finish) {
         double loadPart = endpoint.load() / Math.max(1, endpoint.limit());
         endpoint.recordEnd();
         if (finish.kind() == FinishKind.OK) {
@@ -187,7 +187,7 @@
         refresh(nowMillis, endpoint);
     }
 
-    private void recordSuccess(long nowMillis, TrackedEndpoint endpoint, Finish finish, double loadPart) {
+    private void recordSuccess(long nowMillis, TrackedEndpoint endpoint, FinishedAttempt finish, double loadPart) {
         endpoint.setFailures(endpoint.failures().withSuccess());
         if (endpoint.isSlowStart()) {
             endpoint.setLimit(Math.min(endpoint.slots(), endpoint.limit() + 1));
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/SpeedRecord.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/SpeedRecord.java
@@ -1,6 +1,6 @@
 package org.quetzalshunt.core.decision.endpoint;
 
-import org.quetzalshunt.core.decision.Finish;
+import org.quetzalshunt.core.decision.FinishedAttempt;
 
 /** Speeds of one endpoint, measured on complete answers. */
 public final class SpeedRecord {
@@ -51,7 +51,7 @@
     }
 
     /** Adds the measurements of a complete answer; true if it completes a window. */
-    boolean add(long nowMillis, Finish finish, double loadPart, ServiceSpeed service) {
+    boolean add(long nowMillis, FinishedAttempt finish, double loadPart, ServiceSpeed service) {
         addPrefill(nowMillis, finish, service);
         long decodeMillis = finish.durationMillis() - finish.timeToFirstTokenMillis();
         boolean withoutPrompt = finish.promptTokens() == 0;
@@ -67,7 +67,7 @@
         return windowCount >= WINDOW;
     }
 
-    private void addPrefill(long nowMillis, Finish finish, ServiceSpeed service) {
+    private void addPrefill(long nowMillis, FinishedAttempt finish, ServiceSpeed service) {
         long uncached = finish.promptTokens() - finish.cachedTokens();
         if (uncached < MINIMUM_PROMPT_TOKENS || finish.timeToFirstTokenMillis() <= 0) {
             return;
--- a/core/src/test/java/org/quetzalshunt/core/decision/RulesTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/decision/RulesTest.java
@@ -120,7 +120,7 @@
         for (int number = 0; number < 100; number++) {
             scheduler.offer(number, item("school", "program-" + number, number, 100), 0);
             for (Dispatch dispatch : scheduler.tick(number)) {
-                scheduler.recordFinish(number, dispatch.item().id(), Finish.endpointFailed(0, 10));
+                scheduler.recordFinish(number, dispatch.item().id(), FinishedAttempt.endpointFailed(0, 10));
             }
         }
 
@@ -245,8 +245,8 @@
         return started;
     }
 
-    private static Finish answer(WorkItem item) {
-        return Finish.ok(item.promptTokens(), 0, item.expectedOutputTokens(), 100, 3_000);
+    private static FinishedAttempt answer(WorkItem item) {
+        return FinishedAttempt.ok(item.promptTokens(), 0, item.expectedOutputTokens(), 100, 3_000);
     }
 
     private WorkItem item(String account, String program, long arrivedMillis, long promptTokens) {
--- a/core/src/test/java/org/quetzalshunt/core/decision/SchedulerTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/decision/SchedulerTest.java
@@ -22,7 +22,7 @@
         assertThat(dispatches.get(0).endpoint()).isEqualTo("engine-1");
         assertThat(scheduler.running()).isEqualTo(1);
 
-        scheduler.recordFinish(1_000, 1, Finish.ok(100, 0, 50, 100, 1_000));
+        scheduler.recordFinish(1_000, 1, FinishedAttempt.ok(100, 0, 50, 100, 1_000));
         assertThat(scheduler.running()).isEqualTo(0);
         assertThat(scheduler.prefixEndpoint("program-1")).hasValue("engine-1");
         scheduler.removePrefixLocation("program-1");
--- a/server/src/main/java/org/quetzalshunt/server/entry/CallRun.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/CallRun.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.quetzalshunt.core.decision.Dispatch;
-import org.quetzalshunt.core.decision.Finish;
+import org.quetzalshunt.core.decision.FinishedAttempt;
 import org.quetzalshunt.core.decision.WorkItem;
 import org.quetzalshunt.core.document.ServiceLimits;
 import org.quetzalshunt.core.program.CallRequest;
@@ -249,8 +249,8 @@
                     .finished(
                             dispatch.item(),
                             outcome.isComplete()
-                                    ? Finish.ok(0, 0, 1, duration, duration)
-                                    : Finish.endpointFailed(0, duration));
+                                    ? FinishedAttempt.ok(0, 0, 1, duration, duration)
+                                    : FinishedAttempt.endpointFailed(0, duration));
             if (done) {
                 return;
             }
--- a/server/src/main/java/org/quetzalshunt/server/entry/ChatRun.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ChatRun.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.quetzalshunt.core.decision.Dispatch;
-import org.quetzalshunt.core.decision.Finish;
+import org.quetzalshunt.core.decision.FinishedAttempt;
 import org.quetzalshunt.core.decision.WorkItem;
 import org.quetzalshunt.core.program.Shard;
 import org.quetzalshunt.core.program.StoredAnswer;
@@ -298,13 +298,13 @@
             attemptFailed(dispatch.endpoint(), outcome);
         }
 
-        private Finish finish(AttemptOutcome outcome) {
+        private FinishedAttempt finish(AttemptOutcome outcome) {
             long duration = owner.clock().now() - startedMillis;
             if (!outcome.isComplete()) {
-                return Finish.endpointFailed(completion.deltas(), duration);
+                return FinishedAttempt.endpointFailed(completion.deltas(), duration);
             }
             TurnUsage usage = outcome.usage().orElse(new TurnUsage(0, 0, completion.deltas()));
-            return Finish.ok(
+            return FinishedAttempt.ok(
                     usage.promptTokens(),
                     usage.cachedTokens(),
                     usage.completionTokens(),
--- a/server/src/main/java/org/quetzalshunt/server/entry/WorkDispatcher.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/WorkDispatcher.java
@@ -6,7 +6,7 @@
 import org.quetzalshunt.core.decision.Dispatch;
 import org.quetzalshunt.core.decision.EndpointState;
 import org.quetzalshunt.core.decision.ExpiredRequest;
-import org.quetzalshunt.core.decision.Finish;
+import org.quetzalshunt.core.decision.FinishedAttempt;
 import org.quetzalshunt.core.decision.Scheduler;
 import org.quetzalshunt.core.decision.WorkItem;
 import org.quetzalshunt.core.result.Refusal;
@@ -52,7 +52,7 @@
         scheduler.recordProgress(clock.now(), item.id(), outputTokens);
     }
 
-    void finished(WorkItem item, Finish finish) {
+    void finished(WorkItem item, FinishedAttempt finish) {
         workById.remove(item.id());
         scheduler.recordFinish(clock.now(), item.id(), finish);
         tick();
@@ -79,7 +79,7 @@
             for (Dispatch dispatch : scheduler.tick(clock.now())) {
                 QueuedWork work = workById.get(dispatch.item().id());
                 if (work == null) {
-                    scheduler.recordFinish(clock.now(), dispatch.item().id(), Finish.cancelled(0, 0));
+                    scheduler.recordFinish(clock.now(), dispatch.item().id(), FinishedAttempt.cancelled(0, 0));
                     continue;
                 }
                 work.onDispatched(dispatch);
