--- a/core/src/main/java/org/quetzalshunt/core/limit/FleetLimits.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/FleetLimits.java
@@ -9,8 +9,8 @@
 import org.quetzalshunt.core.limit.LimitMessage.CarryAcknowledgement;
 import org.quetzalshunt.core.limit.LimitMessage.CarryReport;
 import org.quetzalshunt.core.limit.LimitMessage.Holding;
+import org.quetzalshunt.core.limit.LimitMessage.LeaseConfirmation;
 import org.quetzalshunt.core.limit.LimitMessage.LeaseRequest;
-import org.quetzalshunt.core.limit.LimitMessage.LeaseWord;
 import org.quetzalshunt.core.limit.LimitMessage.Request;
 import org.quetzalshunt.core.limit.LimitMessage.Transfer;
 import org.quetzalshunt.core.limit.LimitMessage.TransferAcknowledgement;
@@ -145,8 +145,8 @@
         if (!current || !generation.contains(self)) {
             return;
         }
-        if (message instanceof LeaseWord word) {
-            lease.onConfirmation(from, word.sentMillis());
+        if (message instanceof LeaseConfirmation confirmation) {
+            lease.onConfirmation(from, confirmation.sentMillis());
             serveAll(nowMillis);
         } else if (generation.contains(from)) {
             onMemberMessage(nowMillis, from, message);
@@ -170,12 +170,12 @@
     private void onLeaseRequest(VmId from, LeaseRequest request) {
         boolean hasNoNewerGeneration = generation.offset <= request.generation();
         if (hasNoNewerGeneration) {
-            send(from, new LeaseWord(request.generation(), request.sentMillis()));
+            send(from, new LeaseConfirmation(request.generation(), request.sentMillis()));
         }
     }
 
     private void onRequest(long nowMillis, Request request) {
-        if (!generation.contains(request.asker()) || request.asker().equals(self)) {
+        if (!generation.contains(request.requester()) || request.requester().equals(self)) {
             return;
         }
         Bucket bucket = bucket(nowMillis, request.key());
--- a/core/src/main/java/org/quetzalshunt/core/limit/LimitMessage.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/LimitMessage.java
@@ -24,20 +24,20 @@
      *
      * @param generation generation of the requester
      * @param key account
-     * @param asker VM that is short of tokens; transfers go directly to it
+     * @param requester VM that is short of tokens; transfers go directly to it
      * @param wantedMicroTokens tokens wanted, in millionths
      * @param heldParts parts that the requester holds, in millionths
      * @param demandMilliTokens tokens per second that the requester's callers request, in thousandths
-     * @param passedOn whether the home forwarded it; such a request is not forwarded again
+     * @param forwarded whether the home forwarded it; such a request is not forwarded again
      */
     record Request(
             long generation,
             AccountKey key,
-            VmId asker,
+            VmId requester,
             long wantedMicroTokens,
             long heldParts,
             long demandMilliTokens,
-            boolean passedOn)
+            boolean forwarded)
             implements LimitMessage {}
 
     /**
@@ -91,7 +91,7 @@
      * @param generation generation of the requester
      * @param sentMillis time of the request by the requester's clock, copied from it
      */
-    record LeaseWord(long generation, long sentMillis) implements LimitMessage {}
+    record LeaseConfirmation(long generation, long sentMillis) implements LimitMessage {}
 
     /**
      * Parts that one entry holds of one account.
--- a/core/src/main/java/org/quetzalshunt/core/limit/PartMover.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/PartMover.java
@@ -57,15 +57,15 @@
     void onRequest(long nowMillis, Bucket bucket, Request request) {
         long sentMicroTokens = 0;
         if (lease.isValid(nowMillis)) {
-            Sharing.TransferAmount amount = request.passedOn()
+            Sharing.TransferAmount amount = request.forwarded()
                     ? Sharing.fromHolder(nowMillis, bucket, request)
                     : Sharing.fromHome(nowMillis, bucket, request);
-            sendParts(nowMillis, bucket, request.asker(), amount);
+            sendParts(nowMillis, bucket, request.requester(), amount);
             sentMicroTokens = amount.microTokens();
         }
-        if (!request.passedOn()) {
+        if (!request.forwarded()) {
             fetcher.forward(nowMillis, bucket, request, sentMicroTokens);
-            bucket.holderHints.recordHolder(nowMillis, request.asker(), request.demandMilliTokens());
+            bucket.holderHints.recordHolder(nowMillis, request.requester(), request.demandMilliTokens());
         }
     }
 
--- a/core/src/main/java/org/quetzalshunt/core/limit/Sharing.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/Sharing.java
@@ -67,7 +67,7 @@
         double requesterDemand = request.demandMilliTokens() / 1_000.0;
         double ownDemand = sender.demand.perSecond(nowMillis);
         double totalDemand =
-                requesterDemand + ownDemand + sender.holderHints.demandPerSecond(nowMillis, request.asker());
+                requesterDemand + ownDemand + sender.holderHints.demandPerSecond(nowMillis, request.requester());
         double share = totalDemand > 0 ? requesterDemand / totalDemand : 1;
         boolean isOnlyUser = share > 1 - IDLE_FRACTION && sender.waiting.isEmpty();
         if (isOnlyUser) {
--- a/core/src/main/java/org/quetzalshunt/core/limit/TokenFetcher.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/TokenFetcher.java
@@ -152,8 +152,9 @@
             return;
         }
         List<VmId> holders = bucket.holderHints.all();
-        holders.removeIf(vm -> vm.equals(request.asker()) || vm.equals(self) || !alive.test(vm));
-        boolean isRepeated = bucket.holderHints.requestedWithin(nowMillis, REPEATED_REQUEST_MILLIS, request.asker());
+        holders.removeIf(vm -> vm.equals(request.requester()) || vm.equals(self) || !alive.test(vm));
+        boolean isRepeated =
+                bucket.holderHints.requestedWithin(nowMillis, REPEATED_REQUEST_MILLIS, request.requester());
         int limit = isRepeated ? holders.size() : FORWARD_LIMIT;
         sendInRotation(nowMillis, bucket, holders, limit, forwarded(request, givenMicroTokens));
     }
@@ -177,7 +178,7 @@
         return new Request(
                 request.generation(),
                 request.key(),
-                request.asker(),
+                request.requester(),
                 request.wantedMicroTokens() - givenMicroTokens,
                 request.heldParts(),
                 request.demandMilliTokens(),
--- a/wire/src/main/java/org/quetzalshunt/wire/message/LimitMessageCodec.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/message/LimitMessageCodec.java
@@ -41,8 +41,8 @@
         if (message instanceof LimitMessage.LeaseRequest request) {
             return Message.limitLeaseRequest(new LimitLeaseRequest(request.generation(), request.sentMillis()));
         }
-        LimitMessage.LeaseWord word = (LimitMessage.LeaseWord) message;
-        return Message.limitLeaseWord(new LimitLeaseWord(word.generation(), word.sentMillis()));
+        LimitMessage.LeaseConfirmation confirmation = (LimitMessage.LeaseConfirmation) message;
+        return Message.limitLeaseWord(new LimitLeaseWord(confirmation.generation(), confirmation.sentMillis()));
     }
 
     /** Converts a Thrift value to a message; empty for other kinds of messages and if a required field is absent. */
@@ -63,7 +63,7 @@
                         message.getLimitLeaseRequest().getGeneration(),
                         message.getLimitLeaseRequest().getSentMillis()));
             case LIMIT_LEASE_WORD ->
-                Optional.of(new LimitMessage.LeaseWord(
+                Optional.of(new LimitMessage.LeaseConfirmation(
                         message.getLimitLeaseWord().getGeneration(),
                         message.getLimitLeaseWord().getSentMillis()));
             default -> Optional.empty();
@@ -75,12 +75,12 @@
                 .setGeneration(request.generation())
                 .setServiceName(request.key().service())
                 .setClientAccount(request.key().account())
-                .setAsker(request.asker().name())
-                .setIncarnation(request.asker().incarnation())
+                .setAsker(request.requester().name())
+                .setIncarnation(request.requester().incarnation())
                 .setWantedMicroTokens(request.wantedMicroTokens())
                 .setHeldParts(request.heldParts())
                 .setDemandMilliTokens(request.demandMilliTokens())
-                .setPassedOn(request.passedOn());
+                .setPassedOn(request.forwarded());
     }
 
     private static Optional<LimitMessage> readRequest(LimitRequest request) {
--- a/wire/src/test/java/org/quetzalshunt/wire/message/LimitMessageCodecTest.java
+++ b/wire/src/test/java/org/quetzalshunt/wire/message/LimitMessageCodecTest.java
@@ -22,7 +22,7 @@
                 new LimitMessage.CarryReport(8, List.of()),
                 new LimitMessage.CarryAcknowledgement(8),
                 new LimitMessage.LeaseRequest(8, 1_000),
-                new LimitMessage.LeaseWord(8, 1_000));
+                new LimitMessage.LeaseConfirmation(8, 1_000));
     }
 
     @ParameterizedTest
