--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/EscrowLimiter.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/EscrowLimiter.java
@@ -57,7 +57,7 @@
                         (to, message) -> send(entry, to, message),
                         proposal -> time.runAfter(LOG_APPEND_MILLIS, () -> log.add(proposal.record()))));
         for (int account = 0; account < parameters.accounts(); account++) {
-            limits.documentChanged(0, SERVICE, account(account), parameters.rate(), parameters.burst(), 1);
+            limits.setLimits(0, SERVICE, account(account), parameters.rate(), parameters.burst(), 1);
         }
         time.runEvery(
                 TICK_MILLIS, 1 + random.nextLong(TICK_MILLIS), () -> runTimed(entry, () -> limits.tick(time.now())));
--- a/core/src/main/java/org/quetzalshunt/core/limit/FleetLimits.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/FleetLimits.java
@@ -63,7 +63,7 @@
     }
 
     /** Applies an account's rate and burst from a service document. An older version than the last one is ignored. */
-    public void documentChanged(
+    public void setLimits(
             long nowMillis, String service, String account, double requestsPerSecond, double burst, long version) {
         Bucket bucket = bucket(nowMillis, new AccountKey(service, account));
         if (version < bucket.version) {
@@ -83,7 +83,7 @@
      * tokens twice.
      */
     public void removeAccount(long nowMillis, String service, String account, long version) {
-        documentChanged(nowMillis, service, account, 0, 0, version);
+        setLimits(nowMillis, service, account, 0, 0, version);
     }
 
     /** Takes one token for a request, or lets the request wait for one, at most for the wait of the settings. */
--- a/core/src/test/java/org/quetzalshunt/core/limit/TestFleet.java
+++ b/core/src/test/java/org/quetzalshunt/core/limit/TestFleet.java
@@ -195,7 +195,7 @@
             rateInForce = rate;
             burstInForce = burst;
             recordLimits();
-            limits.documentChanged(local(), SERVICE, ACCOUNT, (double) rate, (double) burst, version);
+            limits.setLimits(local(), SERVICE, ACCOUNT, (double) rate, (double) burst, version);
         }
 
         long local() {
--- a/server/src/main/java/org/quetzalshunt/server/entry/FleetRateLimiter.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/FleetRateLimiter.java
@@ -91,7 +91,7 @@
     }
 
     private void applyAccount(AccountKey key, ClientAccount account, long version) {
-        limits.documentChanged(
+        limits.setLimits(
                 clock.now(), key.service(), key.account(), account.requestsPerSecond(), account.burst(), version);
     }
 
