--- a/app/src/main/java/org/quetzalshunt/app/bench/capacity/MembershipCosts.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/capacity/MembershipCosts.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.quetzalshunt.core.membership.HeartbeatNews;
+import org.quetzalshunt.core.membership.MemberHeartbeat;
 import org.quetzalshunt.core.membership.Membership;
 import org.quetzalshunt.core.membership.MembershipSettings;
 import org.quetzalshunt.core.vm.Vm;
@@ -65,7 +65,7 @@
         for (int number = 1; number < entries; number++) {
             if (number % 10 == step % 10) {
                 membership.onHeartbeat(
-                        now, new HeartbeatNews("entry-" + number, 1, step + 1, 5, 10, false, List.of(number)));
+                        now, new MemberHeartbeat("entry-" + number, 1, step + 1, 5, 10, false, List.of(number)));
             }
         }
     }
@@ -73,15 +73,15 @@
     private static Message heartbeat(Membership membership, String target) {
         Heartbeat heartbeat = new Heartbeat("entry-0", 1, 5, 10, false, shards(), 1_000_000_000_000L);
         heartbeat.setEchoedSentMillis(1_000_000_000_000L);
-        for (HeartbeatNews news : membership.digest(target)) {
+        for (MemberHeartbeat memberHeartbeat : membership.digest(target)) {
             heartbeat.addToDigest(new HeartbeatWord(
-                    news.vm(),
-                    news.incarnation(),
-                    news.beat(),
-                    news.configurationNext(),
-                    news.configurationAgeMillis(),
-                    news.leaving(),
-                    news.ownedShards()));
+                    memberHeartbeat.vm(),
+                    memberHeartbeat.incarnation(),
+                    memberHeartbeat.sequence(),
+                    memberHeartbeat.configurationNext(),
+                    memberHeartbeat.configurationAgeMillis(),
+                    memberHeartbeat.leaving(),
+                    memberHeartbeat.ownedShards()));
         }
         return Message.heartbeat(heartbeat);
     }
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/HeartbeatTraffic.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/HeartbeatTraffic.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.quetzalshunt.core.membership.HeartbeatNews;
+import org.quetzalshunt.core.membership.MemberHeartbeat;
 import org.quetzalshunt.core.membership.Membership;
 import org.quetzalshunt.core.membership.MembershipSettings;
 import org.quetzalshunt.core.vm.Vm;
@@ -113,8 +113,8 @@
     }
 
     private void send(Membership view, String target) {
-        HeartbeatNews own = view.ownNews();
-        List<HeartbeatNews> digest = view.digest(target);
+        MemberHeartbeat own = view.ownHeartbeat();
+        List<MemberHeartbeat> digest = view.digest(target);
         messages++;
         bytes += FRAME_HEADER_BYTES + MessageCodec.encode(message(own, digest)).length;
         int receiver = Integer.parseInt(target.substring("entry-".length()));
@@ -126,7 +126,7 @@
         });
     }
 
-    private Message message(HeartbeatNews own, List<HeartbeatNews> digest) {
+    private Message message(MemberHeartbeat own, List<MemberHeartbeat> digest) {
         Heartbeat heartbeat = new Heartbeat(
                 own.vm(),
                 own.incarnation(),
@@ -135,16 +135,16 @@
                 own.leaving(),
                 own.ownedShards(),
                 time.now());
-        heartbeat.setBeat(own.beat());
+        heartbeat.setBeat(own.sequence());
         heartbeat.setDigest(digest.stream()
-                .map(news -> new HeartbeatWord(
-                        news.vm(),
-                        news.incarnation(),
-                        news.beat(),
-                        news.configurationNext(),
-                        news.configurationAgeMillis(),
-                        news.leaving(),
-                        news.ownedShards()))
+                .map(memberHeartbeat -> new HeartbeatWord(
+                        memberHeartbeat.vm(),
+                        memberHeartbeat.incarnation(),
+                        memberHeartbeat.sequence(),
+                        memberHeartbeat.configurationNext(),
+                        memberHeartbeat.configurationAgeMillis(),
+                        memberHeartbeat.leaving(),
+                        memberHeartbeat.ownedShards()))
                 .toList());
         return Message.heartbeat(heartbeat);
     }
--- a/core/src/main/java/org/quetzalshunt/core/membership/GossipSchedule.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/GossipSchedule.java
@@ -53,7 +53,7 @@
                 .toList();
     }
 
-    List<HeartbeatNews> digest(String target, Peer own, List<Peer> entries) {
+    List<MemberHeartbeat> digest(String target, Peer own, List<Peer> entries) {
         List<Peer> candidates = new ArrayList<>(entries);
         candidates.removeIf(peer -> peer == own
                 || !peer.alive
@@ -62,12 +62,12 @@
                 || peer.vm.name().equals(target));
         shuffle(candidates);
         candidates.sort(Comparator.comparingInt(peer -> peer.timesForwarded));
-        List<HeartbeatNews> news = new ArrayList<>();
+        List<MemberHeartbeat> heartbeats = new ArrayList<>();
         for (Peer peer : candidates.subList(0, Math.min(settings.digestEntries(), candidates.size()))) {
             peer.timesForwarded++;
-            news.add(peer.toHeartbeat());
+            heartbeats.add(peer.toHeartbeat());
         }
-        return news;
+        return heartbeats;
     }
 
     private void shuffle(List<Peer> list) {
--- a/core/src/main/java/org/quetzalshunt/core/membership/Membership.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/Membership.java
@@ -69,40 +69,42 @@
      * Handles a heartbeat that came over the VM's own connection. A heartbeat of a former incarnation, or an outdated
      * one, changes nothing.
      */
-    public void onHeartbeat(long nowMillis, HeartbeatNews news) {
-        Peer peer = peers.get(news.vm());
-        if (peer != null && news.incarnation() >= peer.incarnation) {
+    public void onHeartbeat(long nowMillis, MemberHeartbeat heartbeat) {
+        Peer peer = peers.get(heartbeat.vm());
+        if (peer != null && heartbeat.incarnation() >= peer.incarnation) {
             peer.connectionLostMillis = Long.MIN_VALUE;
         }
-        applyHeartbeat(nowMillis, news);
+        applyHeartbeat(nowMillis, heartbeat);
     }
 
     /** Handles the heartbeats of other VMs that were forwarded with a heartbeat. */
-    public void onDigest(long nowMillis, List<HeartbeatNews> digest) {
-        digest.forEach(news -> applyHeartbeat(nowMillis, news));
+    public void onDigest(long nowMillis, List<MemberHeartbeat> digest) {
+        digest.forEach(heartbeat -> applyHeartbeat(nowMillis, heartbeat));
     }
 
-    private void applyHeartbeat(long nowMillis, HeartbeatNews news) {
-        Peer peer = peers.get(news.vm());
-        if (peer == null || peer == own || !acceptIncarnation(nowMillis, VmId.of(news.vm(), news.incarnation()))) {
+    private void applyHeartbeat(long nowMillis, MemberHeartbeat heartbeat) {
+        Peer peer = peers.get(heartbeat.vm());
+        if (peer == null
+                || peer == own
+                || !acceptIncarnation(nowMillis, VmId.of(heartbeat.vm(), heartbeat.incarnation()))) {
             return;
         }
-        boolean isOutdated = news.beat() > 0 && news.beat() <= peer.sequence;
+        boolean isOutdated = heartbeat.sequence() > 0 && heartbeat.sequence() <= peer.sequence;
         if (isOutdated) {
             return;
         }
         boolean changed = !peer.heartbeatReceived
-                || peer.announcedLeaving != news.leaving()
-                || !peer.ownedShards.equals(news.ownedShards());
-        peer.sequence = Math.max(peer.sequence, news.beat());
+                || peer.announcedLeaving != heartbeat.leaving()
+                || !peer.ownedShards.equals(heartbeat.ownedShards());
+        peer.sequence = Math.max(peer.sequence, heartbeat.sequence());
         peer.heartbeatReceived = true;
         peer.lastHeartbeatMillis = nowMillis;
         // A VM that announced its shutdown never revokes it in the same incarnation. Otherwise, a late copy of an older
         // heartbeat would direct new work to a VM that is shutting down.
-        peer.announcedLeaving |= news.leaving();
-        peer.configurationNext = Math.max(peer.configurationNext, news.configurationNext());
-        peer.configurationAgeMillis = news.configurationAgeMillis();
-        peer.ownedShards = List.copyOf(news.ownedShards());
+        peer.announcedLeaving |= heartbeat.leaving();
+        peer.configurationNext = Math.max(peer.configurationNext, heartbeat.configurationNext());
+        peer.configurationAgeMillis = heartbeat.configurationAgeMillis();
+        peer.ownedShards = List.copyOf(heartbeat.ownedShards());
         peer.timesForwarded = 0;
         updateLiveness(nowMillis, changed);
     }
@@ -237,12 +239,12 @@
     }
 
     /** The state of this VM, which comes first in a heartbeat. */
-    public HeartbeatNews ownNews() {
+    public MemberHeartbeat ownHeartbeat() {
         return own.toHeartbeat();
     }
 
     /** The heartbeats of other entries to forward to one target, those forwarded least often first. */
-    public List<HeartbeatNews> digest(String target) {
+    public List<MemberHeartbeat> digest(String target) {
         return schedule.digest(target, own, entryPeers());
     }
 
--- a/core/src/main/java/org/quetzalshunt/core/membership/Peer.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/Peer.java
@@ -54,8 +54,8 @@
                 ownedShards);
     }
 
-    HeartbeatNews toHeartbeat() {
-        return new HeartbeatNews(
+    MemberHeartbeat toHeartbeat() {
+        return new MemberHeartbeat(
                 vm.name(),
                 incarnation,
                 sequence,
--- a/core/src/test/java/org/quetzalshunt/core/membership/MembershipTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/membership/MembershipTest.java
@@ -25,9 +25,9 @@
         return new Vm(name, role, "127.0.0.1", 1, "arusha-a", "", leaving);
     }
 
-    private static HeartbeatNews heartbeat(
+    private static MemberHeartbeat heartbeat(
             String name, long incarnation, long beat, boolean leaving, Integer... shards) {
-        return new HeartbeatNews(name, incarnation, beat, 10, 0, leaving, List.of(shards));
+        return new MemberHeartbeat(name, incarnation, beat, 10, 0, leaving, List.of(shards));
     }
 
     @BeforeEach
--- a/server/src/main/java/org/quetzalshunt/server/entry/HeartbeatCodec.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/HeartbeatCodec.java
@@ -1,7 +1,7 @@
 package org.quetzalshunt.server.entry;
 
 import java.util.List;
-import org.quetzalshunt.core.membership.HeartbeatNews;
+import org.quetzalshunt.core.membership.MemberHeartbeat;
 import org.quetzalshunt.wire.generated.Heartbeat;
 import org.quetzalshunt.wire.generated.HeartbeatWord;
 
@@ -9,7 +9,7 @@
 final class HeartbeatCodec {
     private HeartbeatCodec() {}
 
-    static Heartbeat encode(HeartbeatNews own, List<HeartbeatNews> digest, long sentMillis) {
+    static Heartbeat encode(MemberHeartbeat own, List<MemberHeartbeat> digest, long sentMillis) {
         Heartbeat heartbeat = new Heartbeat(
                 own.vm(),
                 own.incarnation(),
@@ -18,26 +18,26 @@
                 own.leaving(),
                 own.ownedShards(),
                 sentMillis);
-        heartbeat.setBeat(own.beat());
+        heartbeat.setBeat(own.sequence());
         heartbeat.setDigest(
                 digest.stream().map(HeartbeatCodec::encodeDigestEntry).toList());
         return heartbeat;
     }
 
-    private static HeartbeatWord encodeDigestEntry(HeartbeatNews news) {
+    private static HeartbeatWord encodeDigestEntry(MemberHeartbeat memberHeartbeat) {
         return new HeartbeatWord(
-                news.vm(),
-                news.incarnation(),
-                news.beat(),
-                news.configurationNext(),
-                news.configurationAgeMillis(),
-                news.leaving(),
-                news.ownedShards());
+                memberHeartbeat.vm(),
+                memberHeartbeat.incarnation(),
+                memberHeartbeat.sequence(),
+                memberHeartbeat.configurationNext(),
+                memberHeartbeat.configurationAgeMillis(),
+                memberHeartbeat.leaving(),
+                memberHeartbeat.ownedShards());
     }
 
     /** The sender's own state. Name and incarnation are passed in, as authenticated by the link. */
-    static HeartbeatNews decodeOwn(String vm, long incarnation, Heartbeat heartbeat) {
-        return new HeartbeatNews(
+    static MemberHeartbeat decodeOwn(String vm, long incarnation, Heartbeat heartbeat) {
+        return new MemberHeartbeat(
                 vm,
                 incarnation,
                 heartbeat.getBeat(),
@@ -47,13 +47,13 @@
                 heartbeat.getOwnedShards() == null ? List.of() : heartbeat.getOwnedShards());
     }
 
-    static List<HeartbeatNews> decodeDigest(Heartbeat heartbeat) {
+    static List<MemberHeartbeat> decodeDigest(Heartbeat heartbeat) {
         if (heartbeat.getDigest() == null) {
             return List.of();
         }
         return heartbeat.getDigest().stream()
                 .filter(word -> word.getVm() != null)
-                .map(word -> new HeartbeatNews(
+                .map(word -> new MemberHeartbeat(
                         word.getVm(),
                         word.getIncarnation(),
                         word.getBeat(),
--- a/server/src/main/java/org/quetzalshunt/server/entry/Peers.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/Peers.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quetzalshunt.core.membership.HeartbeatNews;
 import org.quetzalshunt.core.membership.Member;
+import org.quetzalshunt.core.membership.MemberHeartbeat;
 import org.quetzalshunt.core.membership.Membership;
 import org.quetzalshunt.core.vm.Vm;
 import org.quetzalshunt.core.vm.VmId;
@@ -114,8 +114,8 @@
         link.send(heartbeat(link.remote().id().name(), List.of()));
     }
 
-    private Message heartbeat(String target, List<HeartbeatNews> digest) {
-        Heartbeat heartbeat = HeartbeatCodec.encode(membership.ownNews(), digest, clock.now());
+    private Message heartbeat(String target, List<MemberHeartbeat> digest) {
+        Heartbeat heartbeat = HeartbeatCodec.encode(membership.ownHeartbeat(), digest, clock.now());
         Long echoedSentMillis = lastSentMillisByPeer.get(target);
         if (echoedSentMillis != null) {
             heartbeat.setEchoedSentMillis(echoedSentMillis);
