--- a/app/src/main/java/org/quetzalshunt/app/bench/capacity/LogCosts.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/capacity/LogCosts.java
@@ -37,7 +37,7 @@
             public void apply(long offset, byte[] record, int indexInBatch) {}
 
             @Override
-            public void gap(long firstKept) {}
+            public void onGap(long firstKept) {}
         };
         StreamSession session =
                 StreamSession.create("shard-0", StreamSettings.onDemand(COMMIT_MILLIS, 1), "entry#1", transport, fold);
--- a/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public void gap(long firstKept) {
+    public void onGap(long firstKept) {
         complete = false;
         gapEnd = firstKept;
         next = firstKept;
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public void foldedBelow(long position) {
+    public void onAppliedBelow(long position) {
         next = position;
     }
 
--- a/core/src/main/java/org/quetzalshunt/core/log/LogFold.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/LogFold.java
@@ -17,11 +17,11 @@
      *
      * @param firstKept oldest offset still kept, at which reading continues
      */
-    void gap(long firstKept);
+    void onGap(long firstKept);
 
     /** The entry at an offset is not a valid batch and was skipped. */
     default void onMalformedEntry(long offset) {}
 
     /** All offsets below a position were applied or skipped. Called after the last record of each offset. */
-    default void foldedBelow(long position) {}
+    default void onAppliedBelow(long position) {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/log/StreamSession.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/StreamSession.java
@@ -254,7 +254,7 @@
 
     private void skipGap(long first) {
         nextOffset = first;
-        fold.gap(first);
+        fold.onGap(first);
         if (inFlight == null) {
             return;
         }
@@ -293,7 +293,7 @@
 
     private void advanceTo(long position) {
         nextOffset = position;
-        fold.foldedBelow(position);
+        fold.onAppliedBelow(position);
     }
 
     private void applyEntry(LogEntry entry) {
--- a/core/src/main/java/org/quetzalshunt/core/program/Shard.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/Shard.java
@@ -142,7 +142,7 @@
     }
 
     @Override
-    public void gap(long firstKept) {
+    public void onGap(long firstKept) {
         state = new ShardState(settings.resultRetentionMillis());
         rebuild.begin(firstKept);
         nextOffset = firstKept;
@@ -150,7 +150,7 @@
     }
 
     @Override
-    public void foldedBelow(long position) {
+    public void onAppliedBelow(long position) {
         nextOffset = position;
     }
 
--- a/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/configuration/ConfigurationTest.java
@@ -28,7 +28,7 @@
 
     private long fold(ConfigurationChange change) {
         configuration.apply(next, TextRecords.write(change), 0);
-        configuration.foldedBelow(next + 1);
+        configuration.onAppliedBelow(next + 1);
         return next++;
     }
 
@@ -115,7 +115,7 @@
         Configuration reader = configuration;
         if (startsLate) {
             reader = Configuration.create(TextRecords::read);
-            reader.gap(withdrawn);
+            reader.onGap(withdrawn);
             reader.apply(withdrawn, TextRecords.write(put("tutor", created, "withdraw", hash(OTHER_KEY))), 0);
         }
         for (CheckpointChange part : old) {
@@ -133,7 +133,7 @@
         fold(put("tutor", NO_VERSION, "create", hash(KEY)));
         List<CheckpointChange> old = configuration.checkpointChanges(ConfigurationNode.PART_BYTES);
         Configuration late = Configuration.create(TextRecords::read);
-        late.gap(2);
+        late.onGap(2);
         old.forEach(part -> late.apply(3, TextRecords.write(part), part.part()));
         assertThat(late.isComplete()).isFalse();
         assertThat(late.documents()).isEmpty();
@@ -201,12 +201,12 @@
         List<CheckpointChange> one = configuration.checkpointChanges(50);
         Configuration other = Configuration.create(TextRecords::read);
         other.apply(0, TextRecords.write(put("tutor", NO_VERSION, "create", hash(9), hash(8), hash(7), hash(6))), 0);
-        other.foldedBelow(1);
+        other.onAppliedBelow(1);
         List<CheckpointChange> two = other.checkpointChanges(50);
         assertThat(one.size()).isGreaterThan(1);
         assertThat(two).hasSize(one.size());
         Configuration late = Configuration.create(TextRecords::read);
-        late.gap(1);
+        late.onGap(1);
         for (int part = 0; part < one.size(); part++) {
             late.apply(2, TextRecords.write((part % 2 == 0 ? one : two).get(part)), part);
         }
--- a/core/src/test/java/org/quetzalshunt/core/log/RecordingFold.java
+++ b/core/src/test/java/org/quetzalshunt/core/log/RecordingFold.java
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public void gap(long firstKept) {
+    public void onGap(long firstKept) {
         gaps.add(firstKept);
     }
 
--- a/server/src/test/java/org/quetzalshunt/server/log/LogClientTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/log/LogClientTest.java
@@ -83,7 +83,7 @@
             }
 
             @Override
-            public void gap(long firstKept) {
+            public void onGap(long firstKept) {
                 folded.add("gap");
             }
         };
--- a/wire/src/test/java/org/quetzalshunt/wire/record/ConfigurationRecordCodecTest.java
+++ b/wire/src/test/java/org/quetzalshunt/wire/record/ConfigurationRecordCodecTest.java
@@ -116,11 +116,11 @@
             DocumentChange change = largeDocument("service" + service);
             assertThat(change.document()).isPresent();
             whole.apply(service, ConfigurationRecordCodec.encode(change), 0);
-            whole.foldedBelow(service + 1L);
+            whole.onAppliedBelow(service + 1L);
         }
         List<CheckpointChange> parts = whole.checkpointChanges(ConfigurationRecordCodec.MAXIMUM_STATE_PART_BYTES);
         Configuration late = Configuration.create(ConfigurationRecordCodec::decode);
-        late.gap(7);
+        late.onGap(7);
         for (CheckpointChange part : parts) {
             late.apply(8, ConfigurationRecordCodec.encode(part), part.part());
         }
