--- a/app/src/main/java/org/quetzalshunt/app/bench/capacity/ProgramCosts.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/capacity/ProgramCosts.java
@@ -14,10 +14,10 @@
 import org.quetzalshunt.core.program.ShardRecord;
 import org.quetzalshunt.core.program.ShardSettings;
 import org.quetzalshunt.core.program.StoredAnswer;
+import org.quetzalshunt.core.program.TokenUsage;
 import org.quetzalshunt.core.program.TurnRequest;
 import org.quetzalshunt.core.program.TurnResult;
 import org.quetzalshunt.core.program.TurnStart;
-import org.quetzalshunt.core.program.TurnUsage;
 import org.quetzalshunt.core.result.Refusal;
 import org.quetzalshunt.core.vm.VmId;
 import org.quetzalshunt.wire.record.ShardRecords;
@@ -141,7 +141,7 @@
                 "service");
         shard.offerTurn(NOW_MILLIS, request);
         TurnStart start = startedTurns.remove(startedTurns.size() - 1);
-        TurnUsage usage = new TurnUsage(start.contextTokens() + turnBytes / 8, 0, turnBytes / 8);
+        TokenUsage usage = new TokenUsage(start.contextTokens() + turnBytes / 8, 0, turnBytes / 8);
         byte[] answer = text("answer " + program, turn, turnBytes - turnBytes / 2);
         shard.endTurn(
                 NOW_MILLIS,
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardRecord.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardRecord.java
@@ -35,7 +35,7 @@
             byte[] messages,
             byte[] answer,
             StoredAnswer stored,
-            TurnUsage usage,
+            TokenUsage usage,
             long spentTokens,
             long nextReservationTokens,
             long endedMillis)
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnUsage.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TokenUsage.java
@@ -7,7 +7,7 @@
  * @param cachedTokens prompt tokens served from the engine's prefix cache
  * @param completionTokens tokens generated
  */
-public record TurnUsage(long promptTokens, long cachedTokens, long completionTokens) {
+public record TokenUsage(long promptTokens, long cachedTokens, long completionTokens) {
     /** Tokens in the context after the turn. */
     public long contextTokens() {
         return promptTokens + completionTokens;
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnResult.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnResult.java
@@ -7,4 +7,4 @@
  * @param stored the response to store for repeated requests
  * @param usage token counts reported by the engine
  */
-public record TurnResult(byte[] answer, StoredAnswer stored, TurnUsage usage) {}
+public record TurnResult(byte[] answer, StoredAnswer stored, TokenUsage usage) {}
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
@@ -108,7 +108,7 @@
     void end(TurnStart start, long tokens) {
         String requestId = start.request().requestId();
         byte[] answer = octets("answer " + requestId);
-        TurnUsage usage = new TurnUsage(start.contextTokens(), 0, tokens);
+        TokenUsage usage = new TokenUsage(start.contextTokens(), 0, tokens);
         TurnResult result = new TurnResult(answer, new StoredAnswer(200, "text/plain", answer), usage);
         shard.endTurn(log.now(), start, result, kept -> durable.put(requestId, kept));
     }
--- a/server/src/main/java/org/quetzalshunt/server/entry/AttemptOutcome.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package org.quetzalshunt.server.entry;
 
 import java.util.Optional;
-import org.quetzalshunt.core.program.TurnUsage;
+import org.quetzalshunt.core.program.TokenUsage;
 import org.quetzalshunt.core.result.Execution;
 import org.quetzalshunt.core.result.ResultCode;
 
@@ -13,7 +13,7 @@
  * @param usage token counts reported by the engine
  * @param finishReason finish reason reported by the engine; empty if there is none
  */
-record AttemptOutcome(ResultCode code, Execution execution, Optional<TurnUsage> usage, String finishReason) {
+record AttemptOutcome(ResultCode code, Execution execution, Optional<TokenUsage> usage, String finishReason) {
     static AttemptOutcome failed(ResultCode code, Execution execution) {
         return new AttemptOutcome(code, execution, Optional.empty(), "");
     }
--- a/server/src/main/java/org/quetzalshunt/server/entry/AttemptTracker.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/AttemptTracker.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import org.agrona.collections.Long2ObjectHashMap;
-import org.quetzalshunt.core.program.TurnUsage;
+import org.quetzalshunt.core.program.TokenUsage;
 import org.quetzalshunt.core.result.Execution;
 import org.quetzalshunt.core.result.ResultCode;
 import org.quetzalshunt.server.transport.PeerLink;
@@ -139,8 +139,8 @@
             return;
         }
         attempts.remove(attempt.id);
-        Optional<TurnUsage> usage = Optional.ofNullable(end.getUsage())
-                .map(counted -> new TurnUsage(
+        Optional<TokenUsage> usage = Optional.ofNullable(end.getUsage())
+                .map(counted -> new TokenUsage(
                         counted.getPromptTokens(), counted.getCachedTokens(), counted.getCompletionTokens()));
         String reason = end.getFinishReason() == null ? "" : end.getFinishReason();
         attempt.listener.onOutcome(new AttemptOutcome(code, Execution.fromNumber(end.getExecution()), usage, reason));
--- a/server/src/main/java/org/quetzalshunt/server/entry/ChatCompletionAssembler.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ChatCompletionAssembler.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.quetzalshunt.core.program.TurnUsage;
+import org.quetzalshunt.core.program.TokenUsage;
 import org.quetzalshunt.wire.json.Json;
 
 /**
@@ -103,7 +103,7 @@
     }
 
     /** The completion as one JSON body. */
-    byte[] body(TurnUsage usage) {
+    byte[] body(TokenUsage usage) {
         ObjectNode root = envelope("chat.completion");
         ObjectNode choice = root.putArray("choices").addObject();
         choice.put("index", 0);
@@ -114,7 +114,7 @@
     }
 
     /** The events that close a stream: the finish reason, the usage if requested, and the end marker. */
-    List<byte[]> closingEvents(TurnUsage usage, boolean includeUsage) {
+    List<byte[]> closingEvents(TokenUsage usage, boolean includeUsage) {
         List<byte[]> events = new ArrayList<>();
         ObjectNode finish = envelope("chat.completion.chunk");
         ObjectNode choice = finish.putArray("choices").addObject();
@@ -195,7 +195,7 @@
         return root;
     }
 
-    private static ObjectNode usageNode(TurnUsage usage) {
+    private static ObjectNode usageNode(TokenUsage usage) {
         ObjectNode node = Json.object();
         node.put("prompt_tokens", usage.promptTokens());
         node.put("completion_tokens", usage.completionTokens());
--- a/server/src/main/java/org/quetzalshunt/server/entry/ChatRun.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ChatRun.java
@@ -7,9 +7,9 @@
 import org.quetzalshunt.core.decision.WorkItem;
 import org.quetzalshunt.core.program.Shard;
 import org.quetzalshunt.core.program.StoredAnswer;
+import org.quetzalshunt.core.program.TokenUsage;
 import org.quetzalshunt.core.program.TurnResult;
 import org.quetzalshunt.core.program.TurnStart;
-import org.quetzalshunt.core.program.TurnUsage;
 import org.quetzalshunt.core.result.Execution;
 import org.quetzalshunt.core.result.Refusal;
 import org.quetzalshunt.core.result.ResultCode;
@@ -164,15 +164,15 @@
 
     private void complete(AttemptOutcome outcome) {
         TurnStart turn = turnStart.orElseThrow();
-        TurnUsage usage =
-                outcome.usage().orElse(new TurnUsage(turn.contextTokens() + turn.newBytes(), 0, completion.deltas()));
+        TokenUsage usage =
+                outcome.usage().orElse(new TokenUsage(turn.contextTokens() + turn.newBytes(), 0, completion.deltas()));
         StoredAnswer stored = new StoredAnswer(200, "application/json", completion.body(usage));
         TurnResult result = new TurnResult(ChatBody.canonical(completion.message()), stored, usage);
         done = true;
         shard.endTurn(owner.clock().now(), turn, result, accepted -> onTurnRecorded(accepted, turn, stored, usage));
     }
 
-    private void onTurnRecorded(boolean accepted, TurnStart turn, StoredAnswer stored, TurnUsage usage) {
+    private void onTurnRecorded(boolean accepted, TurnStart turn, StoredAnswer stored, TokenUsage usage) {
         owner.chatRuns().remove(request.requestId());
         if (!accepted) {
             Refusal refusal = ownershipRefusal();
@@ -303,7 +303,7 @@
             if (!outcome.isComplete()) {
                 return FinishedAttempt.endpointFailed(completion.deltas(), duration);
             }
-            TurnUsage usage = outcome.usage().orElse(new TurnUsage(0, 0, completion.deltas()));
+            TokenUsage usage = outcome.usage().orElse(new TokenUsage(0, 0, completion.deltas()));
             return FinishedAttempt.ok(
                     usage.promptTokens(),
                     usage.cachedTokens(),
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryMetrics.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryMetrics.java
@@ -7,8 +7,8 @@
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 import java.time.Duration;
 import java.util.function.Supplier;
+import org.quetzalshunt.core.program.TokenUsage;
 import org.quetzalshunt.core.program.TurnStart;
-import org.quetzalshunt.core.program.TurnUsage;
 import org.quetzalshunt.core.result.Refusal;
 
 /**
@@ -32,7 +32,7 @@
             .description("tokens generated")
             .register(registry);
 
-    void recordTurn(TurnStart start, TurnUsage usage, long latencyMillis) {
+    void recordTurn(TurnStart start, TokenUsage usage, long latencyMillis) {
         turnLatency.record(Duration.ofMillis(latencyMillis));
         completionTokens.increment((double) usage.completionTokens());
         recomputedTokens.increment((double) Math.max(0, start.contextTokens() - usage.cachedTokens()));
--- a/wire/src/main/java/org/quetzalshunt/wire/record/ShardRecords.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/record/ShardRecords.java
@@ -5,7 +5,7 @@
 import org.quetzalshunt.core.program.ShardRecord;
 import org.quetzalshunt.core.program.ShardRecordCodec;
 import org.quetzalshunt.core.program.StoredAnswer;
-import org.quetzalshunt.core.program.TurnUsage;
+import org.quetzalshunt.core.program.TokenUsage;
 import org.quetzalshunt.wire.generated.BudgetCharged;
 import org.quetzalshunt.wire.generated.CallEnded;
 import org.quetzalshunt.wire.generated.CallIntent;
@@ -209,7 +209,7 @@
                 required(ended.getMessages()),
                 required(ended.getAnswer()),
                 new StoredAnswer(ended.getStatus(), required(ended.getContentType()), required(ended.getStored())),
-                new TurnUsage(ended.getPromptTokens(), ended.getCachedTokens(), ended.getCompletionTokens()),
+                new TokenUsage(ended.getPromptTokens(), ended.getCachedTokens(), ended.getCompletionTokens()),
                 ended.getSpentTokens(),
                 ended.getNextReservationTokens(),
                 ended.getEndedMillis());
