--- a/server/src/main/java/org/quetzalshunt/server/http/WholeAnswer.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/BufferedResponseListener.java
@@ -4,7 +4,7 @@
 import java.io.ByteArrayOutputStream;
 
 /** Buffers a response of limited size and passes it to the receiver once. */
-public final class WholeAnswer implements HttpResponseListener {
+public final class BufferedResponseListener implements HttpResponseListener {
     /** Receives the result of a call, exactly once. */
     public interface Receiver {
         /** Called with the complete response. */
@@ -20,14 +20,14 @@
     private int status;
     private boolean tooLarge;
 
-    private WholeAnswer(Receiver receiver, int maximumBytes) {
+    private BufferedResponseListener(Receiver receiver, int maximumBytes) {
         this.receiver = receiver;
         this.maximumBytes = maximumBytes;
     }
 
     /** Creates a listener that passes the result to the receiver. */
-    public static WholeAnswer to(Receiver receiver, int maximumBytes) {
-        return new WholeAnswer(receiver, maximumBytes);
+    public static BufferedResponseListener to(Receiver receiver, int maximumBytes) {
+        return new BufferedResponseListener(receiver, maximumBytes);
     }
 
     @Override
--- a/server/src/main/java/org/quetzalshunt/server/log/LogClient.java
+++ b/server/src/main/java/org/quetzalshunt/server/log/LogClient.java
@@ -10,8 +10,8 @@
 import org.quetzalshunt.core.log.LogTransport;
 import org.quetzalshunt.core.log.ReadAnswer;
 import org.quetzalshunt.core.log.StreamSession;
+import org.quetzalshunt.server.http.BufferedResponseListener;
 import org.quetzalshunt.server.http.HttpClient;
-import org.quetzalshunt.server.http.WholeAnswer;
 import org.tinylog.Logger;
 
 /**
@@ -77,7 +77,7 @@
     @Override
     public void append(String stream, byte[] batch) {
         appends++;
-        send("POST", "/log/" + stream, batch, TIMEOUT_MILLIS, new WholeAnswer.Receiver() {
+        send("POST", "/log/" + stream, batch, TIMEOUT_MILLIS, new BufferedResponseListener.Receiver() {
             @Override
             public void onAnswer(int status, byte[] body) {
                 onAppendResponse(stream, status, body);
@@ -94,7 +94,7 @@
     public void read(String stream, long from, long waitMillis) {
         String uri = "/log/" + stream + "?from=" + from + "&maximumBytes=" + MAXIMUM_READ_BYTES + "&waitMillis="
                 + waitMillis;
-        send("GET", uri, new byte[0], waitMillis + TIMEOUT_MILLIS, new WholeAnswer.Receiver() {
+        send("GET", uri, new byte[0], waitMillis + TIMEOUT_MILLIS, new BufferedResponseListener.Receiver() {
             @Override
             public void onAnswer(int status, byte[] body) {
                 onReadResponse(stream, status, body);
@@ -107,10 +107,17 @@
         });
     }
 
-    private void send(String method, String uri, byte[] body, long timeoutMillis, WholeAnswer.Receiver receiver) {
+    private void send(
+            String method, String uri, byte[] body, long timeoutMillis, BufferedResponseListener.Receiver receiver) {
         InetSocketAddress address = addresses.get(addressIndex % addresses.size());
         http.send(
-                address, method, uri, Map.of(), body, timeoutMillis, WholeAnswer.to(receiver, MAXIMUM_RESPONSE_BYTES));
+                address,
+                method,
+                uri,
+                Map.of(),
+                body,
+                timeoutMillis,
+                BufferedResponseListener.to(receiver, MAXIMUM_RESPONSE_BYTES));
     }
 
     private void onAppendResponse(String stream, int status, byte[] body) {
--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/SmallPlatform.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/SmallPlatform.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import org.quetzalshunt.server.http.BufferedResponseListener;
 import org.quetzalshunt.server.http.HttpClient;
-import org.quetzalshunt.server.http.WholeAnswer;
 
 /**
  * Small deployment around one gateway on the loopback address: a store with a configuration, a server, the settings
@@ -99,14 +99,14 @@
                             headers,
                             utf8("x"),
                             REQUEST_TIMEOUT_MILLIS,
-                            WholeAnswer.to(new Receiver(answer), 9_999)));
+                            BufferedResponseListener.to(new Receiver(answer), 9_999)));
             answer.join();
             Thread.sleep(PAUSE_BETWEEN_REQUESTS_MILLIS);
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private record Receiver(CompletableFuture<Integer> answer) implements WholeAnswer.Receiver {
+    private record Receiver(CompletableFuture<Integer> answer) implements BufferedResponseListener.Receiver {
         @Override
         public void onAnswer(int status, byte[] body) {
             answer.complete(status);
