--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/ServerStandin.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/ServerStandin.java
@@ -28,14 +28,14 @@
      *
      * @param atMillis start of the execution, in Unix milliseconds
      */
-    public record Ran(String id, String path, Map<String, String> headers, String body, long atMillis) {}
+    public record ExecutedRequest(String id, String path, Map<String, String> headers, String body, long atMillis) {}
 
     private static final int EVENTS_PER_STREAM = 3;
     private static final int SLOTS = 8;
     private static final long RESTART_DELAY_MILLIS = 900;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final List<Ran> runs = new ArrayList<>();
+    private final List<ExecutedRequest> runs = new ArrayList<>();
     private final String id;
     private final int port;
     private volatile HttpServer server;
@@ -59,12 +59,12 @@
     }
 
     /** Sets the fault of all later requests; {@code NONE} ends it. */
-    public void fault(ServerFault newFault) {
+    public void setFault(ServerFault newFault) {
         fault = newFault;
     }
 
     /** Requests executed so far. */
-    public List<Ran> runs() {
+    public List<ExecutedRequest> executedRequests() {
         return group.next()
                 .submit(() -> List.copyOf(runs))
                 .syncUninterruptibly()
@@ -118,7 +118,7 @@
         Map<String, String> headers = new HashMap<>();
         exchange.headers().forEach(header -> headers.put(header.getKey().toLowerCase(Locale.ROOT), header.getValue()));
         String body = new String(exchange.body(), StandardCharsets.UTF_8);
-        runs.add(new Ran(requestId, exchange.path(), headers, body, System.currentTimeMillis()));
+        runs.add(new ExecutedRequest(requestId, exchange.path(), headers, body, System.currentTimeMillis()));
         answer(exchange, fault == ServerFault.WRONG_ID ? "another" : requestId);
     }
 
