--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreStandin.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreStandin.java
@@ -52,7 +52,7 @@
     }
 
     /** Sets the fault, which applies to every call that is handled after the return; {@code NONE} ends it. */
-    public void fault(StoreFault newFault) {
+    public void setFault(StoreFault newFault) {
         onLoop(() -> fault = newFault);
     }
 
@@ -83,7 +83,7 @@
     }
 
     /** Number of queries for the newest records so far, over all topics with this prefix. */
-    public long rangeReads(String topicPrefix) {
+    public long newestQueries(String topicPrefix) {
         return onLoop(() -> rangeReads.entrySet().stream()
                 .filter(entry -> entry.getKey().startsWith(topicPrefix))
                 .mapToLong(Map.Entry::getValue)
