--- a/app/src/main/java/org/quetzalshunt/app/RehearseCommand.java
+++ b/app/src/main/java/org/quetzalshunt/app/RehearseCommand.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.concurrent.Callable;
 import org.quetzalshunt.platform.GatewayCommand;
-import org.quetzalshunt.standin.fleet.SmallPlatform;
+import org.quetzalshunt.standin.fleet.LoopbackDeployment;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
@@ -16,13 +16,13 @@
 final class RehearseCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException, InterruptedException {
-        try (SmallPlatform platform = SmallPlatform.start()) {
-            String settings = platform.settings().toString();
+        try (LoopbackDeployment deployment = LoopbackDeployment.start()) {
+            String settings = deployment.settings().toString();
             Thread gateway =
                     new Thread(() -> new CommandLine(new GatewayCommand()).execute("--settings", settings), "gateway");
             gateway.setDaemon(true);
             gateway.start();
-            platform.callAll();
+            deployment.sendRequests();
         }
         return 0;
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/SmallPlatform.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/LoopbackDeployment.java
@@ -21,7 +21,7 @@
  * file of the gateway, and a client. Used for a run that records the class-data archive of the gateway, in which only
  * the executed code paths matter.
  */
-public final class SmallPlatform implements AutoCloseable {
+public final class LoopbackDeployment implements AutoCloseable {
     private static final String CONFIGURATION =
             """
             {"version":1,"routes":[
@@ -51,7 +51,7 @@
     private final int port;
     private final Path settings;
 
-    private SmallPlatform() throws IOException {
+    private LoopbackDeployment() throws IOException {
         port = freePort();
         store.put("keyed.op", "config", utf8(CONFIGURATION.replace("%s", "localhost:" + port)));
         store.put("keyed.servers", server.id(), server.entry("s", "ready"));
@@ -61,8 +61,8 @@
     }
 
     /** Starts the store and the server. */
-    public static SmallPlatform start() throws IOException {
-        return new SmallPlatform();
+    public static LoopbackDeployment start() throws IOException {
+        return new LoopbackDeployment();
     }
 
     /** Path of the settings file for the gateway. */
@@ -77,7 +77,7 @@
     }
 
     /** Sends turns and plain requests to the gateway alternately, and waits for each response. */
-    public void callAll() throws InterruptedException {
+    public void sendRequests() throws InterruptedException {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         HttpClient client = HttpClient.create(group);
         for (int index = 0; index < REQUESTS; index++) {
