--- a/app/src/test/java/org/quetzalshunt/app/DocumentationTest.java
+++ b/app/src/test/java/org/quetzalshunt/app/DocumentationTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quetzalshunt.core.result.ResultCode;
 import org.quetzalshunt.wire.document.DocumentReader;
-import org.quetzalshunt.wire.document.DocumentReading;
+import org.quetzalshunt.wire.document.DocumentResult;
 
 /** Checks that the documented result codes and the example service documents match the code. */
 final class DocumentationTest {
@@ -37,8 +37,8 @@
     @ValueSource(
             strings = {"kite-readers-app.yaml", "kite-readers-llm.yaml", "mawe-kavu-app.yaml", "mawe-kavu-tutor.yaml"})
     void exampleDocumentIsValid(String name) throws IOException {
-        DocumentReading reading =
+        DocumentResult result =
                 DocumentReader.read(Files.readString(ROOT.resolve("examples").resolve(name)));
-        assertThat(reading).isInstanceOf(DocumentReading.Valid.class);
+        assertThat(result).isInstanceOf(DocumentResult.Valid.class);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/AdminApi.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/AdminApi.java
@@ -16,7 +16,7 @@
 import org.quetzalshunt.server.http.HttpExchange;
 import org.quetzalshunt.wire.document.DocumentError;
 import org.quetzalshunt.wire.document.DocumentReader;
-import org.quetzalshunt.wire.document.DocumentReading;
+import org.quetzalshunt.wire.document.DocumentResult;
 import org.quetzalshunt.wire.json.Json;
 
 /**
@@ -121,12 +121,12 @@
 
     private void put(HttpExchange exchange, String requestId, String service, String team) {
         String text = new String(exchange.body(), StandardCharsets.UTF_8);
-        DocumentReading reading = DocumentReader.read(text);
-        if (reading instanceof DocumentReading.Invalid invalid) {
+        DocumentResult result = DocumentReader.read(text);
+        if (result instanceof DocumentResult.Invalid invalid) {
             sendDocumentErrors(exchange, requestId, invalid);
             return;
         }
-        ServiceDocument document = ((DocumentReading.Valid) reading).document();
+        ServiceDocument document = ((DocumentResult.Valid) result).document();
         if (!document.name().equals(service)) {
             refuse(exchange, requestId, Refusal.notRun(ResultCode.INVALID_DOCUMENT, "service: must be " + service));
             return;
@@ -145,7 +145,7 @@
         submitChange(exchange, requestId, service, team, Optional.of(document), text);
     }
 
-    private static void sendDocumentErrors(HttpExchange exchange, String requestId, DocumentReading.Invalid invalid) {
+    private static void sendDocumentErrors(HttpExchange exchange, String requestId, DocumentResult.Invalid invalid) {
         ObjectNode root = Json.object();
         ObjectNode error = root.putObject("error");
         error.put("code", ResultCode.INVALID_DOCUMENT.number());
--- a/server/src/main/java/org/quetzalshunt/server/operator/ConfigCommand.java
+++ b/server/src/main/java/org/quetzalshunt/server/operator/ConfigCommand.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.quetzalshunt.core.result.ResultCode;
 import org.quetzalshunt.wire.document.DocumentReader;
-import org.quetzalshunt.wire.document.DocumentReading;
+import org.quetzalshunt.wire.document.DocumentResult;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
@@ -34,9 +34,9 @@
             mixinStandardHelpOptions = true,
             description = "Validates a file locally, without an entry.")
     int validate(@Parameters(paramLabel = "FILE") Path file) throws IOException {
-        DocumentReading reading = DocumentReader.read(Files.readString(file));
+        DocumentResult result = DocumentReader.read(Files.readString(file));
         PrintWriter out = spec.commandLine().getOut();
-        if (reading instanceof DocumentReading.Invalid invalid) {
+        if (result instanceof DocumentResult.Invalid invalid) {
             invalid.errors()
                     .forEach(problem -> out.printf(
                             "%s:%d: %d %s: expected %s%n",
--- a/wire/src/main/java/org/quetzalshunt/wire/document/DocumentReader.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/document/DocumentReader.java
@@ -57,13 +57,13 @@
     private DocumentReader() {}
 
     /** Parses and validates a text. */
-    public static DocumentReading read(String text) {
+    public static DocumentResult read(String text) {
         DocumentReader reader = new DocumentReader();
         Optional<ServiceDocument> document = reader.readText(text);
         if (document.isPresent() && reader.errors.isEmpty()) {
-            return new DocumentReading.Valid(document.get());
+            return new DocumentResult.Valid(document.get());
         }
-        return new DocumentReading.Invalid(reader.errors.stream()
+        return new DocumentResult.Invalid(reader.errors.stream()
                 .sorted(Comparator.comparingInt(DocumentError::line))
                 .limit(MAXIMUM_ERRORS)
                 .toList());
--- a/wire/src/main/java/org/quetzalshunt/wire/document/DocumentReading.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/document/DocumentResult.java
@@ -5,12 +5,12 @@
 import org.quetzalshunt.core.document.ServiceDocument;
 
 /** Result of parsing and validating the text of a document. */
-public sealed interface DocumentReading {
+public sealed interface DocumentResult {
     /** The text is a valid document. */
-    record Valid(ServiceDocument document) implements DocumentReading {}
+    record Valid(ServiceDocument document) implements DocumentResult {}
 
     /** The text is not valid. The errors are in order of their lines. */
-    record Invalid(List<DocumentError> errors) implements DocumentReading {}
+    record Invalid(List<DocumentError> errors) implements DocumentResult {}
 
     /** The document; empty if the text is not valid. */
     default Optional<ServiceDocument> toOptional() {
--- a/wire/src/test/java/org/quetzalshunt/wire/document/DocumentReaderTest.java
+++ b/wire/src/test/java/org/quetzalshunt/wire/document/DocumentReaderTest.java
@@ -32,9 +32,9 @@
     @ParameterizedTest
     @MethodSource("examples")
     void examplesAreValid(Path example) throws IOException {
-        DocumentReading reading = DocumentReader.read(Files.readString(example));
-        assertThat(reading.errors()).isEmpty();
-        assertThat(reading.toOptional().map(document -> document.accounts().size()))
+        DocumentResult result = DocumentReader.read(Files.readString(example));
+        assertThat(result.errors()).isEmpty();
+        assertThat(result.toOptional().map(document -> document.accounts().size()))
                 .hasValue(8);
     }
 
