--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/PlayMeter.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/AdmissionMeter.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 
 /** Compares each admission and refusal with a single token bucket for the whole fleet. */
-final class PlayMeter {
+final class AdmissionMeter {
     private final VirtualTime time;
     /** Counts actual admissions; falls below zero by the number of tokens by which a window exceeds its bound. */
     private final TokenBucket admissions;
@@ -15,7 +15,7 @@
     private long admitted;
     private long wronglyRefused;
 
-    PlayMeter(VirtualTime time, Limiter.Parameters parameters) {
+    AdmissionMeter(VirtualTime time, Limiter.Parameters parameters) {
         this.time = time;
         this.admissions = new TokenBucket(parameters.rate(), parameters.burst(), parameters.burst());
         this.reference = new TokenBucket(parameters.rate(), parameters.burst(), parameters.burst());
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/LimitPlay.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/LimitScenario.java
@@ -12,7 +12,7 @@
  * @param entrySelector chooses the entry that receives a request
  * @param hasCrash whether the entry with the most influence on decisions crashes after a third of the time
  */
-record LimitPlay(String name, double load, EntrySelector entrySelector, boolean hasCrash) {
+record LimitScenario(String name, double load, EntrySelector entrySelector, boolean hasCrash) {
     /** Chooses the entry that receives a request from the time and the number of entries. */
     interface EntrySelector {
         int select(long millis, int entries, SplittableRandom random);
@@ -22,16 +22,16 @@
      * All scenarios: a load balancer that spreads requests evenly, sends all to one entry, or moves between entries; an
      * account that exceeds its rate; and a crashed entry.
      */
-    static List<LimitPlay> all() {
+    static List<LimitScenario> all() {
         EntrySelector even = (millis, entries, random) -> random.nextInt(entries);
         EntrySelector single = (millis, entries, random) -> entries - 1;
         EntrySelector moving = (millis, entries, random) -> (int) (millis / 1_000 * 7 % entries);
         return List.of(
-                new LimitPlay("even", 0.95, even, false),
-                new LimitPlay("one entry", 0.95, single, false),
-                new LimitPlay("moving", 0.95, moving, false),
-                new LimitPlay("greedy", 3, even, false),
-                new LimitPlay("crash", 0.95, even, true));
+                new LimitScenario("even", 0.95, even, false),
+                new LimitScenario("one entry", 0.95, single, false),
+                new LimitScenario("moving", 0.95, moving, false),
+                new LimitScenario("greedy", 3, even, false),
+                new LimitScenario("crash", 0.95, even, true));
     }
 
     /** Creates a limiter in the given virtual time. */
@@ -63,7 +63,7 @@
         SplittableRandom random = new SplittableRandom(parameters.seed() + 1);
         time.advanceTo(WARM_UP_MILLIS);
         Limiter.Cost before = limiter.cost();
-        PlayMeter meter = new PlayMeter(time, parameters);
+        AdmissionMeter meter = new AdmissionMeter(time, parameters);
         double intervalMillis = 1_000 / (parameters.rate() * load);
         int[] crashed = {NO_ENTRY};
         for (double atMillis = intervalMillis; atMillis < TRAFFIC_MILLIS; atMillis += intervalMillis) {
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/LimitsCommand.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/LimitsCommand.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import org.quetzalshunt.app.bench.limits.LimitPlay.LimiterFactory;
+import org.quetzalshunt.app.bench.limits.LimitScenario.LimiterFactory;
 import org.quetzalshunt.wire.json.Json;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -57,7 +57,7 @@
         printLine(
                 "%-10s %7s %-12s %10s %10s %10s %10s %10s",
                 "play", "entries", "way", "overshoot", "wrong %", "admitted %", "messages/s", "bytes/s");
-        for (LimitPlay scenario : LimitPlay.all()) {
+        for (LimitScenario scenario : LimitScenario.all()) {
             for (int entries : COMPARED_ENTRY_COUNTS) {
                 compareLimiters(scenario, entries, scenarios.putObject(scenario.name() + ", " + entries + " entries"));
             }
@@ -80,9 +80,9 @@
         return 0;
     }
 
-    private void compareLimiters(LimitPlay scenario, int entries, ObjectNode node) {
+    private void compareLimiters(LimitScenario scenario, int entries, ObjectNode node) {
         limiters().forEach((name, factory) -> {
-            LimitPlay.Result result = scenario.run(factory, new Limiter.Parameters(entries, 1, RATE, BURST, seed));
+            LimitScenario.Result result = scenario.run(factory, new Limiter.Parameters(entries, 1, RATE, BURST, seed));
             printLine(
                     "%-10s %7d %-12s %10.2f %10.3f %10.2f %10.1f %10.0f",
                     scenario.name(),
