--- a/app/src/main/java/org/quetzalshunt/app/bench/play/EngineShape.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/EngineParameters.java
@@ -9,16 +9,16 @@
  * @param unitsPerPromptToken units of work for one prompt token that is not cached
  * @param cacheTokens capacity of the prefix cache in tokens
  */
-public record EngineShape(
+public record EngineParameters(
         int slots, double unitsPerSecond, double answerTokensPerSecond, double unitsPerPromptToken, long cacheTokens) {
 
     /** A mid-range engine: 48 slots, 24 answers at full speed, and prompt tokens at a tenth of an output token's cost. */
-    static EngineShape midRange() {
-        return new EngineShape(48, 1_200, 50, 0.1, 400_000);
+    static EngineParameters midRange() {
+        return new EngineParameters(48, 1_200, 50, 0.1, 400_000);
     }
 
     /** Returns a copy with another cache capacity. */
-    EngineShape withCache(long newCacheTokens) {
-        return new EngineShape(slots, unitsPerSecond, answerTokensPerSecond, unitsPerPromptToken, newCacheTokens);
+    EngineParameters withCache(long newCacheTokens) {
+        return new EngineParameters(slots, unitsPerSecond, answerTokensPerSecond, unitsPerPromptToken, newCacheTokens);
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/ProgramShape.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/ProgramProfile.java
@@ -11,7 +11,7 @@
  * @param pauseMillis tool pause between turns
  * @param subAgentChance probability that a turn has two sub-agent calls, which must be answered before the next turn
  */
-public record ProgramShape(
+public record ProgramProfile(
         double probability,
         LogUniformRange turns,
         LogUniformRange firstPromptTokens,
@@ -21,8 +21,8 @@
         double subAgentChance) {
 
     /** A short question of a few turns, such as one about coursing and batter in bricklaying or about a renewal. */
-    static ProgramShape quick() {
-        return new ProgramShape(
+    static ProgramProfile quick() {
+        return new ProgramProfile(
                 1,
                 LogUniformRange.of(2, 5),
                 LogUniformRange.of(600, 1_600),
@@ -33,8 +33,8 @@
     }
 
     /** A planning program with sub-agents, many turns and a long history. */
-    static ProgramShape planning() {
-        return new ProgramShape(
+    static ProgramProfile planning() {
+        return new ProgramProfile(
                 1,
                 LogUniformRange.of(8, 16),
                 LogUniformRange.of(2_000, 4_000),
@@ -45,20 +45,20 @@
     }
 
     /** Returns a copy with another probability. */
-    ProgramShape withProbability(double newProbability) {
-        return new ProgramShape(
+    ProgramProfile withProbability(double newProbability) {
+        return new ProgramProfile(
                 newProbability, turns, firstPromptTokens, nextPromptTokens, outputTokens, pauseMillis, subAgentChance);
     }
 
     /** Returns a copy with other tool pauses. */
-    ProgramShape withPause(LogUniformRange newPause) {
-        return new ProgramShape(
+    ProgramProfile withPause(LogUniformRange newPause) {
+        return new ProgramProfile(
                 probability, turns, firstPromptTokens, nextPromptTokens, outputTokens, newPause, subAgentChance);
     }
 
     /** Returns a copy with another first prompt length. */
-    ProgramShape withFirstPrompt(LogUniformRange newFirstPrompt) {
-        return new ProgramShape(
+    ProgramProfile withFirstPrompt(LogUniformRange newFirstPrompt) {
+        return new ProgramProfile(
                 probability, turns, newFirstPrompt, nextPromptTokens, outputTokens, pauseMillis, subAgentChance);
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/Scenario.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/Scenario.java
@@ -22,11 +22,11 @@
         String name,
         String description,
         int engines,
-        EngineShape engine,
+        EngineParameters engine,
         int entries,
         Reports reports,
         List<AccountLoad> accounts,
-        List<ProgramShape> programs,
+        List<ProgramProfile> programs,
         double load,
         Burst burst,
         List<Fault> faults,
@@ -83,7 +83,7 @@
                 arrivalMillis);
     }
 
-    Scenario withEngines(int newEngines, EngineShape newEngine, int newEntries, Reports newReports) {
+    Scenario withEngines(int newEngines, EngineParameters newEngine, int newEntries, Reports newReports) {
         return new Scenario(
                 name,
                 description,
@@ -115,7 +115,7 @@
                 arrivalMillis);
     }
 
-    Scenario withPrograms(List<ProgramShape> newPrograms) {
+    Scenario withPrograms(List<ProgramProfile> newPrograms) {
         return new Scenario(
                 name,
                 description,
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/Scenarios.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/Scenarios.java
@@ -43,13 +43,13 @@
                 "",
                 "",
                 ENGINES,
-                EngineShape.midRange(),
+                EngineParameters.midRange(),
                 ENTRIES,
                 REPORTS,
                 accounts(0.3, 0.2, 0.15, 0.1, 0.1, 0.05, 0.05, 0.05),
                 List.of(
-                        ProgramShape.quick().withProbability(0.96),
-                        ProgramShape.planning().withProbability(0.04)),
+                        ProgramProfile.quick().withProbability(0.96),
+                        ProgramProfile.planning().withProbability(0.04)),
                 load,
                 Scenario.Burst.none(),
                 List.of(),
@@ -119,17 +119,17 @@
     public static Scenario cacheThrash() {
         return base(0.55)
                 .withName("cache-thrash", "the live programs' histories are larger than the engines' caches")
-                .withPrograms(List.of(ProgramShape.quick()
+                .withPrograms(List.of(ProgramProfile.quick()
                         .withFirstPrompt(LogUniformRange.of(2_000, 6_000))
                         .withPause(LogUniformRange.of(2_000, 20_000))))
-                .withEngines(ENGINES, EngineShape.midRange().withCache(60_000), ENTRIES, REPORTS);
+                .withEngines(ENGINES, EngineParameters.midRange().withCache(60_000), ENTRIES, REPORTS);
     }
 
     /** Sixteen entries share forty engines whose load reports come every two seconds and are a second old on arrival. */
     public static Scenario laggingReports() {
         return base(0.8)
                 .withName("lagging-reports", "sixteen entries share forty engines with reports up to three seconds old")
-                .withEngines(40, EngineShape.midRange(), 16, new Scenario.Reports(2_000, 1_000))
+                .withEngines(40, EngineParameters.midRange(), 16, new Scenario.Reports(2_000, 1_000))
                 .withLoad(0.8, 240_000);
     }
 
@@ -150,8 +150,8 @@
         return base(0.5)
                 .withName("tool-pauses", "tool pauses last from one second to ten minutes")
                 .withPrograms(List.of(
-                        ProgramShape.quick().withProbability(0.96).withPause(LogUniformRange.of(1_000, 600_000)),
-                        ProgramShape.planning().withProbability(0.04).withPause(LogUniformRange.of(1_000, 600_000))))
+                        ProgramProfile.quick().withProbability(0.96).withPause(LogUniformRange.of(1_000, 600_000)),
+                        ProgramProfile.planning().withProbability(0.04).withPause(LogUniformRange.of(1_000, 600_000))))
                 .withLoad(0.7, 1_200_000);
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/SimulatedEngine.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/SimulatedEngine.java
@@ -15,7 +15,7 @@
     /** Fraction of a step's compute that prefill may use while decoding needs the rest, as under chunked prefill. */
     private static final double MAX_PREFILL_FRACTION = 0.5;
 
-    private final EngineShape capacity;
+    private final EngineParameters capacity;
     private final List<EngineRequest> running = new ArrayList<>();
     private final List<EngineRequest> waiting = new ArrayList<>();
     private final LinkedHashMap<String, Long> cache = new LinkedHashMap<>(16, 0.75f, true);
@@ -24,7 +24,7 @@
     private boolean down;
     private double unitsDone;
 
-    SimulatedEngine(EngineShape capacity) {
+    SimulatedEngine(EngineParameters capacity) {
         this.capacity = capacity;
     }
 
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/Workload.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/play/Workload.java
@@ -76,7 +76,7 @@
     }
 
     private List<ProgramScript.Turn> drawTurns() {
-        ProgramShape profile = drawProfile();
+        ProgramProfile profile = drawProfile();
         List<ProgramScript.Turn> turns = new ArrayList<>();
         long count = profile.turns().draw(random);
         for (long turn = 0; turn < count; turn++) {
@@ -90,7 +90,7 @@
         return turns;
     }
 
-    private List<ProgramScript.SubAgent> drawSubAgents(ProgramShape profile) {
+    private List<ProgramScript.SubAgent> drawSubAgents(ProgramProfile profile) {
         if (random.nextDouble() >= profile.subAgentChance()) {
             return List.of();
         }
@@ -103,9 +103,9 @@
         return agents;
     }
 
-    private ProgramShape drawProfile() {
+    private ProgramProfile drawProfile() {
         double drawn = random.nextDouble();
-        for (ProgramShape profile : scenario.programs()) {
+        for (ProgramProfile profile : scenario.programs()) {
             drawn -= profile.probability();
             if (drawn < 0) {
                 return profile;
--- a/app/src/test/java/org/quetzalshunt/app/bench/play/PlaysTest.java
+++ b/app/src/test/java/org/quetzalshunt/app/bench/play/ScenariosTest.java
@@ -10,7 +10,7 @@
 import org.quetzalshunt.core.decision.Policy;
 
 /** Compares the standard policy with the baseline policies on the same arrivals in each scenario. */
-final class PlaysTest {
+final class ScenariosTest {
     private static final List<Long> SEEDS = List.of(1L, 2L);
     private static final String STANDARD = Policy.standard().name();
 
