--- a/app/src/main/java/org/quetzalshunt/app/bench/play/AccountLoad.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/AccountLoad.java
@@ -1,4 +1,4 @@
-package org.quetzalshunt.app.bench.play;
+package org.quetzalshunt.app.bench.scenario;
 
 /**
  * Load that one client account offers in a scenario.
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/Call.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/Call.java
@@ -1,4 +1,4 @@
-package org.quetzalshunt.app.bench.play;
+package org.quetzalshunt.app.bench.scenario;
 
 /** One request of a program, from its first offer until it is answered or the caller abandons the program. */
 final class Call {
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/EngineParameters.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/EngineParameters.java
@@ -1,4 +1,4 @@
-package org.quetzalshunt.app.bench.play;
+package org.quetzalshunt.app.bench.scenario;
 
 /**
  * Capacity of a simulated engine. A unit of work is one output token generated in a full batch.
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/Fault.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/Fault.java
@@ -1,4 +1,4 @@
-package org.quetzalshunt.app.bench.play;
+package org.quetzalshunt.app.bench.scenario;
 
 /** Fault of one engine during a scenario, in virtual time since the start. */
 public sealed interface Fault {
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/ProgramProfile.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/ProgramProfile.java
@@ -1,4 +1,4 @@
-package org.quetzalshunt.app.bench.play;
+package org.quetzalshunt.app.bench.scenario;
 
 /**
  * Distribution of the properties of one kind of program.
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/ProgramRun.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/ProgramRun.java
@@ -1,4 +1,4 @@
-package org.quetzalshunt.app.bench.play;
+package org.quetzalshunt.app.bench.scenario;
 
 /** Mutable progress of one program during a run. */
 final class ProgramRun {
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/Target.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/Target.java
@@ -1,4 +1,4 @@
-package org.quetzalshunt.app.bench.play;
+package org.quetzalshunt.app.bench.scenario;
 
 /**
  * A performance target and the value measured against it.
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/Workload.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/Workload.java
@@ -1,4 +1,4 @@
-package org.quetzalshunt.app.bench.play;
+package org.quetzalshunt.app.bench.scenario;
 
 import java.util.ArrayList;
 import java.util.Comparator;
