--- a/core/src/main/java/org/quetzalshunt/core/decision/CachePlaces.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/PrefixLocationTable.java
@@ -5,7 +5,7 @@
 import org.agrona.collections.Object2ObjectHashMap;
 
 /** Locations of cached prompt prefixes: for each program, the endpoint that ran its last turn. */
-final class CachePlaces {
+final class PrefixLocationTable {
     /**
      * Idle time after which a location is removed, so that programs whose end was not reported do not fill the table.
      * It is longer than the longest tool pause, ten minutes.
--- a/core/src/main/java/org/quetzalshunt/core/decision/Scheduler.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/Scheduler.java
@@ -23,7 +23,7 @@
 
     private final SchedulerSettings settings;
     private final SplittableRandom random;
-    private final CachePlaces prefixLocations = new CachePlaces();
+    private final PrefixLocationTable prefixLocations = new PrefixLocationTable();
     private final Map<String, ServiceLoad> services = new Object2ObjectHashMap<>();
     private final List<ServiceLoad> serviceList = new ArrayList<>();
     private final Map<String, String> serviceOfEndpoint = new Object2ObjectHashMap<>();
@@ -166,7 +166,7 @@
 
     /** The endpoint that ran the program's last turn and may still have its prefix in its cache. */
     public Optional<String> prefixEndpoint(String cacheKey) {
-        return prefixLocations.find(cacheKey).map(CachePlaces.Location::endpoint);
+        return prefixLocations.find(cacheKey).map(PrefixLocationTable.Location::endpoint);
     }
 
     /** Takes one retry from the service's budget; false when the budget is spent. */
--- a/core/src/main/java/org/quetzalshunt/core/decision/ServiceLoad.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/ServiceLoad.java
@@ -44,13 +44,13 @@
     private final ServiceEndpoints endpoints;
     private final EndpointChoice choice;
     private final ProgramTable programs = ProgramTable.create();
-    private final CachePlaces prefixLocations;
+    private final PrefixLocationTable prefixLocations;
     private final DrainRate drain = DrainRate.create();
     private final RetryBudget retries = RetryBudget.create();
     private final Long2ObjectHashMap<WaitingItem> waitingById = new Long2ObjectHashMap<>();
     private final PriorityQueue<Expiry> expiries = new PriorityQueue<>(BY_EXPIRY_TIME);
 
-    private ServiceLoad(SchedulerSettings settings, CachePlaces prefixLocations, SplittableRandom random) {
+    private ServiceLoad(SchedulerSettings settings, PrefixLocationTable prefixLocations, SplittableRandom random) {
         this.policy = settings.policy();
         this.queue = FairQueue.create(policy.order(), policy.charge(), programs);
         this.endpoints = ServiceEndpoints.create(policy.rules(), settings.entries(), random);
@@ -58,7 +58,8 @@
         this.prefixLocations = prefixLocations;
     }
 
-    static ServiceLoad create(SchedulerSettings settings, CachePlaces prefixLocations, SplittableRandom random) {
+    static ServiceLoad create(
+            SchedulerSettings settings, PrefixLocationTable prefixLocations, SplittableRandom random) {
         return new ServiceLoad(settings, prefixLocations, random);
     }
 
@@ -133,10 +134,10 @@
     }
 
     private long expectedCachedTokens(WorkItem item) {
-        return location(item).map(CachePlaces.Location::tokens).orElse(0L);
+        return location(item).map(PrefixLocationTable.Location::tokens).orElse(0L);
     }
 
-    private Optional<CachePlaces.Location> location(WorkItem item) {
+    private Optional<PrefixLocationTable.Location> location(WorkItem item) {
         return prefixLocations.find(item.cacheKey()).flatMap(location -> endpoints
                 .find(location.endpoint())
                 .map(endpoint -> endpoint.horizon().isLikelyCached(location.placedTokens())
@@ -166,13 +167,13 @@
 
     private Optional<TrackedEndpoint> chooseEndpoint(long nowMillis, WaitingItem waiting) {
         WorkItem item = waiting.item();
-        Optional<CachePlaces.Location> location = location(item);
+        Optional<PrefixLocationTable.Location> location = location(item);
         PlacementRequest request = new PlacementRequest(
                 nowMillis,
                 item,
                 urgency(nowMillis, waiting),
                 location.flatMap(found -> endpoints.find(found.endpoint())),
-                location.map(CachePlaces.Location::tokens).orElse(0L));
+                location.map(PrefixLocationTable.Location::tokens).orElse(0L));
         return choice.choose(request, endpoints);
     }
 
@@ -267,7 +268,7 @@
         if (finish.promptTokens() > 0) {
             prefixLocations.put(
                     item.cacheKey(),
-                    new CachePlaces.Location(
+                    new PrefixLocationTable.Location(
                             endpoint.name(), prefixTokens, endpoint.horizon().placedTokens(), nowMillis));
         }
     }
