--- a/core/src/main/java/org/quetzalshunt/core/decision/Policy.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/Policy.java
@@ -3,9 +3,9 @@
 import java.util.function.Function;
 import java.util.function.LongPredicate;
 import org.quetzalshunt.core.decision.admission.AdmissionRule;
+import org.quetzalshunt.core.decision.endpoint.EarliestFinishChoice;
 import org.quetzalshunt.core.decision.endpoint.EndpointChoice;
 import org.quetzalshunt.core.decision.endpoint.EndpointRules;
-import org.quetzalshunt.core.decision.endpoint.ExpectedFinish;
 import org.quetzalshunt.core.decision.endpoint.PlainChoices;
 import org.quetzalshunt.core.decision.queue.QueueOrder;
 import org.quetzalshunt.core.decision.queue.WorkCharge;
@@ -37,7 +37,7 @@
                 WorkCharge.tokensOfWork(),
                 QueueOrder.leastAttained(),
                 turnAndAttained -> turnAndAttained > 0,
-                ExpectedFinish::from,
+                EarliestFinishChoice::from,
                 EndpointRules.adaptive(),
                 AdmissionRule.beforeDeadline());
     }
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/ExpectedFinish.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/EarliestFinishChoice.java
@@ -10,7 +10,7 @@
  * <p>Sampling follows the power of two choices (Mitzenmacher 2001) with more than two choices. It costs the same with
  * 1,700 endpoints as with 20, and entries with the same outdated reports do not all choose the same endpoint.
  */
-public final class ExpectedFinish implements EndpointChoice {
+public final class EarliestFinishChoice implements EndpointChoice {
     /**
      * Number of endpoints sampled. Two already prevent herding. With few open endpoints, the best of eight is an idle
      * one with a probability of 1 - 0.7^8 = 94% where a third are idle. The cost grows in proportion.
@@ -54,13 +54,13 @@
     private final double[] finishMillis = new double[SAMPLE_SIZE];
     private final TrackedEndpoint[] sampled = new TrackedEndpoint[SAMPLE_SIZE];
 
-    private ExpectedFinish(String dataCentre) {
+    private EarliestFinishChoice(String dataCentre) {
         this.dataCentre = dataCentre;
     }
 
     /** Creates the choice for an entry in a data centre. */
     public static EndpointChoice from(String dataCentre) {
-        return new ExpectedFinish(dataCentre);
+        return new EarliestFinishChoice(dataCentre);
     }
 
     @Override
