--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/Speedometer.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/RateAverage.java
@@ -1,7 +1,7 @@
 package org.quetzalshunt.core.decision.endpoint;
 
 /** Exponentially weighted moving average of a rate, with the time of its last sample. */
-final class Speedometer {
+final class RateAverage {
     /**
      * Weight of one sample. Five samples move the mean by two thirds of a change and one sample by a fifth, so that
      * work moves away from a slow endpoint over some five answers and not at once.
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/ServiceSpeed.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/ServiceSpeed.java
@@ -11,8 +11,8 @@
     /** Assumed before the first answer: prefill is some hundred times as fast as decoding one answer. */
     private static final double INITIAL_PREFILL_PER_SECOND = 4_000;
 
-    private final Speedometer decode = new Speedometer();
-    private final Speedometer prefill = new Speedometer();
+    private final RateAverage decode = new RateAverage();
+    private final RateAverage prefill = new RateAverage();
 
     ServiceSpeed() {}
 
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/SpeedRecord.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/SpeedRecord.java
@@ -27,8 +27,8 @@
      */
     private static final double UNLOADED_WEIGHT = 0.02;
 
-    private final Speedometer decode = new Speedometer();
-    private final Speedometer prefill = new Speedometer();
+    private final RateAverage decode = new RateAverage();
+    private final RateAverage prefill = new RateAverage();
     private double windowSum;
     private int windowCount;
     private double unloaded;
