--- a/core/src/main/java/org/quetzalshunt/core/limit/PartMover.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/PartMover.java
@@ -57,9 +57,9 @@
     void onRequest(long nowMillis, Bucket bucket, Request request) {
         long sentMicroTokens = 0;
         if (lease.isValid(nowMillis)) {
-            Sharing.TransferAmount amount = request.forwarded()
-                    ? Sharing.fromHolder(nowMillis, bucket, request)
-                    : Sharing.fromHome(nowMillis, bucket, request);
+            TransferPolicy.TransferAmount amount = request.forwarded()
+                    ? TransferPolicy.fromHolder(nowMillis, bucket, request)
+                    : TransferPolicy.fromHome(nowMillis, bucket, request);
             sendParts(nowMillis, bucket, request.requester(), amount);
             sentMicroTokens = amount.microTokens();
         }
@@ -69,7 +69,7 @@
         }
     }
 
-    private void sendParts(long nowMillis, Bucket bucket, VmId to, Sharing.TransferAmount amount) {
+    private void sendParts(long nowMillis, Bucket bucket, VmId to, TransferPolicy.TransferAmount amount) {
         if (amount.parts() == 0) {
             return;
         }
@@ -115,7 +115,7 @@
         if (!bucket.waiting.isEmpty() && !canNeverServe) {
             return;
         }
-        Sharing.TransferAmount surplus = Sharing.surplus(nowMillis, bucket);
+        TransferPolicy.TransferAmount surplus = TransferPolicy.surplus(nowMillis, bucket);
         if (surplus.parts() > 0 && lease.isValid(nowMillis)) {
             recipient(bucket.key).ifPresent(vm -> sendUnrequested(nowMillis, bucket, vm, surplus));
         }
@@ -126,7 +126,7 @@
      * cause refusals far beyond the dead entry's own share until the next generation. All parts go only to a VM that
      * acknowledged a transfer recently. Any other VM first gets a small fraction.
      */
-    private void sendUnrequested(long nowMillis, Bucket bucket, VmId recipient, Sharing.TransferAmount amount) {
+    private void sendUnrequested(long nowMillis, Bucket bucket, VmId recipient, TransferPolicy.TransferAmount amount) {
         if (leaving || ledger.isResponsive(nowMillis, recipient)) {
             sendParts(nowMillis, bucket, recipient, amount);
             return;
@@ -134,7 +134,7 @@
         long parts = amount.parts() / PROBE_DIVISOR;
         if (!ledger.isPending(recipient) && parts > 0) {
             long tokens = Math.min(amount.microTokens() / PROBE_DIVISOR, bucket.capacityOf(parts));
-            sendParts(nowMillis, bucket, recipient, new Sharing.TransferAmount(parts, tokens));
+            sendParts(nowMillis, bucket, recipient, new TransferPolicy.TransferAmount(parts, tokens));
         }
     }
 
@@ -155,7 +155,8 @@
             boolean idle = leaving || nowMillis - bucket.lastTakeMillis >= IDLE_MILLIS;
             if (idle && bucket.parts() > 0 && bucket.waiting.isEmpty()) {
                 bucket.accrue(nowMillis);
-                Sharing.TransferAmount everything = new Sharing.TransferAmount(bucket.parts(), bucket.level());
+                TransferPolicy.TransferAmount everything =
+                        new TransferPolicy.TransferAmount(bucket.parts(), bucket.level());
                 recipient(bucket.key).ifPresent(vm -> sendUnrequested(nowMillis, bucket, vm, everything));
             }
         }
--- a/core/src/main/java/org/quetzalshunt/core/limit/Sharing.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/TransferPolicy.java
@@ -14,7 +14,7 @@
  * leaves each a bucket of less than two tokens, which fills up and wastes its rate while another is empty. The parts of
  * such an account are pooled at its home. The other entries fetch tokens when they need them and return the parts.
  */
-final class Sharing {
+final class TransferPolicy {
     /** The sender keeps tokens for this much of its own traffic, the time in which it could fetch them back. */
     private static final double RESERVE_SECONDS = 0.05;
 
@@ -42,7 +42,7 @@
      */
     private static final double KEPT_RATE_FACTOR = 1.25;
 
-    private Sharing() {}
+    private TransferPolicy() {}
 
     /**
      * What to transfer.
