--- a/app/src/main/java/org/quetzalshunt/app/bench/play/DecisionCost.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/DecisionCost.java
@@ -1,4 +1,4 @@
-package org.quetzalshunt.app.bench.play;
+package org.quetzalshunt.app.bench.scenario;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import org.quetzalshunt.core.decision.Dispatch;
 import org.quetzalshunt.core.decision.EndpointState;
-import org.quetzalshunt.core.decision.Finish;
+import org.quetzalshunt.core.decision.FinishedAttempt;
 import org.quetzalshunt.core.decision.Scheduler;
 import org.quetzalshunt.core.decision.SchedulerSettings;
 import org.quetzalshunt.core.decision.WorkItem;
@@ -38,7 +38,7 @@
         this.random = new SplittableRandom(seed);
         for (int endpoint = 0; endpoint < endpoints; endpoint++) {
             String name = "engine-" + endpoint;
-            scheduler.endpointReported(
+            scheduler.recordReport(
                     0,
                     new EndpointState(
                             name,
@@ -113,7 +113,9 @@
         Dispatch ended = running.get(index);
         running.set(index, running.get(running.size() - 1));
         running.remove(running.size() - 1);
-        scheduler.finished(
-                nowMillis, ended.item().id(), Finish.ok(PROMPT_TOKENS, PROMPT_TOKENS - 100, OUTPUT_TOKENS, 50, 3_050));
+        scheduler.recordFinish(
+                nowMillis,
+                ended.item().id(),
+                FinishedAttempt.ok(PROMPT_TOKENS, PROMPT_TOKENS - 100, OUTPUT_TOKENS, 50, 3_050));
     }
 }
--- a/app/src/main/java/org/quetzalshunt/app/bench/play/ScenarioRun.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/ScenarioRun.java
@@ -1,4 +1,4 @@
-package org.quetzalshunt.app.bench.play;
+package org.quetzalshunt.app.bench.scenario;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,8 +8,8 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import org.quetzalshunt.core.decision.Dispatch;
-import org.quetzalshunt.core.decision.Expired;
-import org.quetzalshunt.core.decision.Finish;
+import org.quetzalshunt.core.decision.ExpiredRequest;
+import org.quetzalshunt.core.decision.FinishedAttempt;
 import org.quetzalshunt.core.decision.Policy;
 import org.quetzalshunt.core.decision.Scheduler;
 import org.quetzalshunt.core.decision.SchedulerSettings;
@@ -106,7 +106,7 @@
         }
         if (nowMillis % PROGRESS_INTERVAL_MILLIS == 0) {
             attempts.forEach((id, attempt) -> entries.get(attempt.entry())
-                    .progressed(nowMillis, id, attempt.request().deliveredTokens()));
+                    .recordProgress(nowMillis, id, attempt.request().deliveredTokens()));
         }
         if (nowMillis <= scenario.arrivalMillis()) {
             unitsWhileArriving = fleet.unitsDone();
@@ -204,7 +204,7 @@
     }
 
     private void evictHistory(ProgramRun program, String cacheKey) {
-        entries.get(entryOf(program)).cacheForgotten(cacheKey);
+        entries.get(entryOf(program)).removePrefixLocation(cacheKey);
         for (int engine = 0; engine < fleet.size(); engine++) {
             fleet.engine(engine).evict(cacheKey);
         }
@@ -212,7 +212,7 @@
 
     private void runScheduler(int entry) {
         Scheduler scheduler = entries.get(entry);
-        for (Expired expired : scheduler.expire(nowMillis)) {
+        for (ExpiredRequest expired : scheduler.expire(nowMillis)) {
             refused(offeredCalls.remove(expired.item().id()), expired.refusal());
         }
         for (Dispatch dispatch : scheduler.tick(nowMillis)) {
@@ -243,12 +243,12 @@
         recorder.attemptLost(attempt.request());
         Scheduler scheduler = entries.get(attempt.entry());
         long duration = nowMillis - attempt.request().dispatchedMillis;
-        scheduler.finished(
+        scheduler.recordFinish(
                 nowMillis,
                 attempt.request().id,
-                Finish.endpointFailed(attempt.request().deliveredTokens(), duration));
+                FinishedAttempt.endpointFailed(attempt.request().deliveredTokens(), duration));
         Call call = attempt.call();
-        if (!scheduler.mayRetry(nowMillis, SimulatedFleet.SERVICE)) {
+        if (!scheduler.tryTakeRetry(nowMillis, SimulatedFleet.SERVICE)) {
             scheduleResend(call, RESEND_DELAY_MILLIS);
             return;
         }
@@ -266,7 +266,7 @@
         fleet.engine(attempt.engine()).cancel(request.id);
         long duration = nowMillis - request.dispatchedMillis;
         entries.get(attempt.entry())
-                .finished(nowMillis, request.id, Finish.cancelled(request.deliveredTokens(), duration));
+                .recordFinish(nowMillis, request.id, FinishedAttempt.cancelled(request.deliveredTokens(), duration));
         scheduleResend(attempt.call(), RESEND_DELAY_MILLIS);
     }
 
@@ -275,10 +275,10 @@
         Call call = attempt.call();
         Scheduler scheduler = entries.get(attempt.entry());
         recorder.answered(nowMillis, call, request.cachedTokens);
-        scheduler.finished(
+        scheduler.recordFinish(
                 nowMillis,
                 request.id,
-                Finish.ok(
+                FinishedAttempt.ok(
                         call.promptTokens,
                         request.cachedTokens,
                         call.outputTokens,
--- a/core/src/main/java/org/quetzalshunt/core/attempt/ModelRollout.java
+++ b/core/src/main/java/org/quetzalshunt/core/attempt/ModelRollout.java
@@ -89,7 +89,7 @@
      * @param stepMillis delay of this endpoint's step of the rollout; applies only while the engine serves a model that
      *     the rollout manages
      */
-    public void desire(
+    public void updateTarget(
             long version, List<ModelVersion> models, boolean checksFencing, long stepMillis, long nowMillis) {
         if (!plan.updateTarget(version, models)) {
             return;
@@ -122,9 +122,9 @@
             return;
         }
         if (answer instanceof WeightsAnswer.Ready) {
-            giveOrderIfStillDue(nowMillis);
-        } else if (answer instanceof WeightsAnswer.Later later) {
-            restUntil(nowMillis + later.millis());
+            sendOrderIfStillDue(nowMillis);
+        } else if (answer instanceof WeightsAnswer.RateLimited rateLimited) {
+            restUntil(nowMillis + rateLimited.millis());
         } else if (answer instanceof WeightsAnswer.Missing) {
             plan.rollBack();
             restUntil(nowMillis + RETRY_DELAY_MILLIS);
@@ -134,22 +134,22 @@
     }
 
     /** Handles the engine's response to an order or to a query for its state. */
-    public void onOrder(OrderAnswer answer, long nowMillis) {
+    public void onOrder(EngineOrderState answer, long nowMillis) {
         if (phase != Phase.ORDERING && phase != Phase.ASKING) {
             return;
         }
-        if (answer instanceof OrderAnswer.Accepted accepted) {
+        if (answer instanceof EngineOrderState.Accepted accepted) {
             orderId = accepted.order();
             timeoutAtMillis = nowMillis + UNKNOWN_ORDER_TIMEOUT_MILLIS;
             pollLater(nowMillis);
-        } else if (answer instanceof OrderAnswer.Running) {
+        } else if (answer instanceof EngineOrderState.Running) {
             timeoutAtMillis = nowMillis + UNKNOWN_ORDER_TIMEOUT_MILLIS;
             pollLater(nowMillis);
-        } else if (answer instanceof OrderAnswer.Done) {
+        } else if (answer instanceof EngineOrderState.Done) {
             readBack(nowMillis + READ_BACK_TIMEOUT_MILLIS);
-        } else if (answer instanceof OrderAnswer.Failed) {
+        } else if (answer instanceof EngineOrderState.Failed) {
             onFailure(nowMillis);
-        } else if (answer instanceof OrderAnswer.Fenced) {
+        } else if (answer instanceof EngineOrderState.Fenced) {
             phase = Phase.FENCED;
         } else {
             onUnknownAnswer(nowMillis);
@@ -160,7 +160,7 @@
     public void tick(long nowMillis) {
         if (phase == Phase.WORKING && nowMillis >= notBeforeMillis) {
             phase = Phase.ASKING;
-            outputs.accept(new RolloutOutput.AskOrder(orderId));
+            outputs.accept(new RolloutOutput.QueryOrder(orderId));
         } else if (phase == Phase.READING_BACK && nowMillis >= timeoutAtMillis) {
             onFailure(nowMillis);
         } else if (phase == Phase.RESTING && canStartStep(nowMillis)) {
@@ -196,7 +196,7 @@
         }
         RolloutPlan.Step next = step.get();
         if (!next.load()) {
-            giveOrder();
+            sendOrder();
             return;
         }
         phase = Phase.FETCHING;
@@ -204,19 +204,19 @@
     }
 
     /** Compares with the plan again, because a newer document may have arrived while the weights were requested. */
-    private void giveOrderIfStillDue(long nowMillis) {
+    private void sendOrderIfStillDue(long nowMillis) {
         if (plan.nextStep(loaded.orElse(List.of())).equals(step)) {
-            giveOrder();
+            sendOrder();
             return;
         }
         restUntil(nowMillis);
     }
 
-    private void giveOrder() {
+    private void sendOrder() {
         RolloutPlan.Step next = step.orElseThrow();
         phase = Phase.ORDERING;
         ordersGiven++;
-        outputs.accept(new RolloutOutput.GiveOrder(next.load(), next.model(), plan.version()));
+        outputs.accept(new RolloutOutput.SendOrder(next.load(), next.model(), plan.version()));
     }
 
     private void pollLater(long nowMillis) {
--- a/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
@@ -14,8 +14,8 @@
  * by compare-and-set on its version, which is the offset of its record, so the first valid change wins. Every reader
  * skips and counts the same unreadable records.
  *
- * <p>After a gap the old state is kept, but {@link #complete} is false until a checkpoint that covers the gap has been
- * read. Then the state is replaced by the checkpoint's, and the records from its offset on are applied.
+ * <p>After a gap the old state is kept, but {@link #isComplete} is false until a checkpoint that covers the gap has
+ * been read. Then the state is replaced by the checkpoint's, and the records from its offset on are applied.
  */
 public final class Configuration implements LogFold {
     /**
@@ -54,7 +54,7 @@
         next = Math.max(next, offset);
         Optional<ConfigurationChange> change = reader.read(record);
         if (change.isEmpty()) {
-            malformed(offset);
+            onMalformedEntry(offset);
             return;
         }
         if (change.get() instanceof CheckpointChange checkpoint) {
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public void gap(long firstKept) {
+    public void onGap(long firstKept) {
         complete = false;
         gapEnd = firstKept;
         next = firstKept;
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public void malformed(long offset) {
+    public void onMalformedEntry(long offset) {
         invalidRecords++;
         if (invalidOffsets.size() == MAXIMUM_INVALID_OFFSETS) {
             invalidOffsets.remove(0);
@@ -90,13 +90,13 @@
     }
 
     @Override
-    public void foldedBelow(long position) {
+    public void onAppliedBelow(long position) {
         next = position;
     }
 
     /** The current document of a service; empty if there is none or it was removed. */
     public Optional<VersionedDocument> document(String service) {
-        return state.documents().current(service).filter(Predicate.not(VersionedDocument::removed));
+        return state.documents().current(service).filter(Predicate.not(VersionedDocument::isRemoved));
     }
 
     /** Version on which the next change of a service must be based; a removal also counts as a version. */
@@ -135,12 +135,12 @@
     }
 
     /** Offset that is applied next. */
-    public long next() {
+    public long nextOffset() {
         return next;
     }
 
     /** Whether the state reflects every record of the stream. If not, no decision may be based on it. */
-    public boolean complete() {
+    public boolean isComplete() {
         return complete;
     }
 
@@ -207,7 +207,7 @@
     private void applyCheckpoint(long offset, CheckpointChange change) {
         // A checkpoint can only cover offsets before its own; anything else comes from a faulty writer.
         if (change.coversBelow() > offset) {
-            malformed(offset);
+            onMalformedEntry(offset);
             return;
         }
         Optional<byte[]> encoded =
@@ -217,7 +217,7 @@
         }
         Optional<ConfigurationState> decoded = CheckpointCodec.decode(encoded.get(), reader);
         if (decoded.isEmpty()) {
-            malformed(offset);
+            onMalformedEntry(offset);
             return;
         }
         lastCheckpointCoversBelow = Math.max(lastCheckpointCoversBelow, change.coversBelow());
--- a/core/src/main/java/org/quetzalshunt/core/limit/FleetLimits.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/FleetLimits.java
@@ -9,8 +9,8 @@
 import org.quetzalshunt.core.limit.LimitMessage.CarryAcknowledgement;
 import org.quetzalshunt.core.limit.LimitMessage.CarryReport;
 import org.quetzalshunt.core.limit.LimitMessage.Holding;
+import org.quetzalshunt.core.limit.LimitMessage.LeaseConfirmation;
 import org.quetzalshunt.core.limit.LimitMessage.LeaseRequest;
-import org.quetzalshunt.core.limit.LimitMessage.LeaseWord;
 import org.quetzalshunt.core.limit.LimitMessage.Request;
 import org.quetzalshunt.core.limit.LimitMessage.Transfer;
 import org.quetzalshunt.core.limit.LimitMessage.TransferAcknowledgement;
@@ -63,7 +63,7 @@
     }
 
     /** Applies an account's rate and burst from a service document. An older version than the last one is ignored. */
-    public void documentChanged(
+    public void setLimits(
             long nowMillis, String service, String account, double requestsPerSecond, double burst, long version) {
         Bucket bucket = bucket(nowMillis, new AccountKey(service, account));
         if (version < bucket.version) {
@@ -82,8 +82,8 @@
      * Removes an account. Its bucket stays with rate and burst zero, so that adding the account again cannot grant its
      * tokens twice.
      */
-    public void removed(long nowMillis, String service, String account, long version) {
-        documentChanged(nowMillis, service, account, 0, 0, version);
+    public void removeAccount(long nowMillis, String service, String account, long version) {
+        setLimits(nowMillis, service, account, 0, 0, version);
     }
 
     /** Takes one token for a request, or lets the request wait for one, at most for the wait of the settings. */
@@ -145,8 +145,8 @@
         if (!current || !generation.contains(self)) {
             return;
         }
-        if (message instanceof LeaseWord word) {
-            lease.onConfirmation(from, word.sentMillis());
+        if (message instanceof LeaseConfirmation confirmation) {
+            lease.onConfirmation(from, confirmation.sentMillis());
             serveAll(nowMillis);
         } else if (generation.contains(from)) {
             onMemberMessage(nowMillis, from, message);
@@ -170,12 +170,12 @@
     private void onLeaseRequest(VmId from, LeaseRequest request) {
         boolean hasNoNewerGeneration = generation.offset <= request.generation();
         if (hasNoNewerGeneration) {
-            send(from, new LeaseWord(request.generation(), request.sentMillis()));
+            send(from, new LeaseConfirmation(request.generation(), request.sentMillis()));
         }
     }
 
     private void onRequest(long nowMillis, Request request) {
-        if (!generation.contains(request.asker()) || request.asker().equals(self)) {
+        if (!generation.contains(request.requester()) || request.requester().equals(self)) {
             return;
         }
         Bucket bucket = bucket(nowMillis, request.key());
@@ -316,13 +316,13 @@
     }
 
     /** Starts a graceful shutdown: every part goes to live peers, including parts that arrive later. */
-    public void leaving(long nowMillis) {
+    public void startLeaving(long nowMillis) {
         mover.startLeaving();
         tick(nowMillis);
     }
 
     /** Whether an entry that is shutting down has transferred all of its parts and received all acknowledgements. */
-    public boolean handedOver() {
+    public boolean isHandoverComplete() {
         return mover.pendingTransfers() == 0
                 && table.buckets().stream().allMatch(bucket -> bucket.parts() == 0 && bucket.waiting.isEmpty());
     }
--- a/core/src/test/java/org/quetzalshunt/core/log/RecordingFold.java
+++ b/core/src/test/java/org/quetzalshunt/core/log/RecordingFold.java
@@ -19,12 +19,12 @@
     }
 
     @Override
-    public void gap(long firstKept) {
+    public void onGap(long firstKept) {
         gaps.add(firstKept);
     }
 
     @Override
-    public void malformed(long offset) {
+    public void onMalformedEntry(long offset) {
         malformed.add(offset);
     }
 }
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
@@ -66,7 +66,7 @@
 
     /** Reads the stream to its end and claims the shard. */
     void takeOver(Runnable ticks) {
-        session.follow(log.now());
+        session.requestReadToEnd(log.now());
         log.run(60, ticks);
         shard.claim(won -> {});
         log.run(60, ticks);
@@ -83,7 +83,7 @@
                 outcome -> {});
     }
 
-    Admission offer(String program, String requestId) {
+    AdmissionDecision offer(String program, String requestId) {
         List<byte[]> messages = List.of(octets("ask " + requestId));
         ServiceLimits limits = ServiceLimits.defaults();
         return shard.offerTurn(
@@ -108,12 +108,12 @@
     void end(TurnStart start, long tokens) {
         String requestId = start.request().requestId();
         byte[] answer = octets("answer " + requestId);
-        TurnUsage usage = new TurnUsage(start.contextTokens(), 0, tokens);
+        TokenUsage usage = new TokenUsage(start.contextTokens(), 0, tokens);
         TurnResult result = new TurnResult(answer, new StoredAnswer(200, "text/plain", answer), usage);
         shard.endTurn(log.now(), start, result, kept -> durable.put(requestId, kept));
     }
 
-    Admission call(String key, String requestId) {
+    AdmissionDecision call(String key, String requestId) {
         return shard.offerCall(log.now(), callRequest(key, requestId));
     }
 
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
@@ -41,7 +41,7 @@
         one.shard.claim(won -> {});
         two.shard.claim(won -> {});
         log.run(60, this::ticks);
-        List.of(one, two).forEach(node -> node.session.follow(log.now()));
+        List.of(one, two).forEach(node -> node.session.requestReadToEnd(log.now()));
         log.run(60, this::ticks);
         assertThat(one.shard.isOwned()).isNotEqualTo(two.shard.isOwned());
         assertThat(one.shard.owner()).isEqualTo(two.shard.owner());
@@ -87,11 +87,11 @@
         assertThat(one.callsStarted).hasSize(1);
         one.transport.crash();
         two.takeOver(two::tick);
-        Admission again = two.call("lorry", "second");
+        AdmissionDecision again = two.call("lorry", "second");
         log.run(100, two::tick);
         assertThat(two.callsStarted).isEmpty();
-        assertThat(((Admission.Refused) again).refusal().execution()).isEqualTo(Execution.UNKNOWN);
-        assertThat(((Admission.Refused) again).refusal().code()).isEqualTo(ResultCode.OUTCOME_UNKNOWN);
+        assertThat(((AdmissionDecision.Refused) again).refusal().execution()).isEqualTo(Execution.UNKNOWN);
+        assertThat(((AdmissionDecision.Refused) again).refusal().code()).isEqualTo(ResultCode.OUTCOME_UNKNOWN);
     }
 
     /**
@@ -123,13 +123,13 @@
         log.setOutage(true);
         one.call("lorry", "first");
         log.run(500, this::ticks);
-        one.shard.withdrawCall(ShardNode.callRequest("lorry", "first"));
+        one.shard.cancelCall(ShardNode.callRequest("lorry", "first"));
         log.setOutage(false);
         log.run(10_000, this::ticks);
         assertThat(one.callsStarted).isEmpty();
-        Admission again = one.call("lorry", "second");
+        AdmissionDecision again = one.call("lorry", "second");
         log.run(200, this::ticks);
-        assertThat(again).isInstanceOf(Admission.Accepted.class);
+        assertThat(again).isInstanceOf(AdmissionDecision.Accepted.class);
         assertThat(one.callsStarted).hasSize(1);
     }
 
@@ -152,7 +152,7 @@
         late.call("renewal", "first");
         log.run(100, late::tick);
         assertThat(late.callsStarted).hasSize(1);
-        assertThat(late.call("renewal", "again")).isInstanceOf(Admission.Attach.class);
+        assertThat(late.call("renewal", "again")).isInstanceOf(AdmissionDecision.Attach.class);
     }
 
     /**
@@ -181,7 +181,7 @@
         int turns = turnsAfterTheCheckpoint ? 3 : 2;
         assertThat(late.shard.find(PROGRAM, ShardNode.ACCOUNT).map(ProgramView::turns))
                 .hasValue(turns);
-        assertThat(late.offer(PROGRAM, "first")).isInstanceOf(Admission.Replay.class);
+        assertThat(late.offer(PROGRAM, "first")).isInstanceOf(AdmissionDecision.Replay.class);
         late.offer(PROGRAM, "next");
         log.run(60, late::tick);
         assertThat(late.turnsStarted.get(0).prompt()).hasSize(2 * turns + 1);
@@ -196,9 +196,9 @@
         log.dropBelow(1);
         ShardNode late = ShardNode.start(log, codec, "late");
         late.takeOver(late::tick);
-        assertThat(late.shard.complete()).isFalse();
+        assertThat(late.shard.isComplete()).isFalse();
         assertThat(late.shard.isOwned()).isFalse();
-        assertThat(late.offer(PROGRAM, "turn")).isInstanceOf(Admission.Refused.class);
+        assertThat(late.offer(PROGRAM, "turn")).isInstanceOf(AdmissionDecision.Refused.class);
     }
 
     /**
@@ -220,7 +220,7 @@
         other.shard.claim(won -> {});
         log.run(100, both);
         one.transport.resume();
-        List.of(late, other, one).forEach(node -> node.session.follow(log.now()));
+        List.of(late, other, one).forEach(node -> node.session.requestReadToEnd(log.now()));
         log.run(200, () -> List.of(late, other, one).forEach(ShardNode::tick));
         assertThat(List.of(late.shard.isOwned(), other.shard.isOwned())).containsExactly(true, false);
         assertThat(one.shard.isOwned()).isFalse();
@@ -241,7 +241,7 @@
         for (int sweep = 0; sweep < 50; sweep++) {
             one.shard.tick(log.now() + later + sweep * 1_000L);
         }
-        assertThat(one.session.backlog()).isEqualTo(1);
+        assertThat(one.session.backlogRecords()).isEqualTo(1);
     }
 
     /** A turn that is refused because its reservation cannot be recorded must not block later turns of its program. */
@@ -306,7 +306,7 @@
         one.takeOver(this::ticks);
         assertThat(one.shard.isOwned()).isTrue();
         one.end(one.turnsStarted.get(0), 10);
-        one.shard.chargeLostAttempt(
+        one.shard.chargeFailedAttempt(
                 one.turnsStarted.get(0), charged -> assertThat(charged).isFalse());
         log.run(100, this::ticks);
         assertThat(one.durable).containsExactly("of the first epoch", false);
@@ -318,11 +318,11 @@
     @Test
     void aReleaseByAProcessThatIsNotTheOwnerIsVoid() {
         one.takeOver(this::ticks);
-        two.session.follow(log.now());
+        two.session.requestReadToEnd(log.now());
         log.run(60, this::ticks);
         two.shard.release(released -> {});
         log.run(100, this::ticks);
-        one.session.follow(log.now());
+        one.session.requestReadToEnd(log.now());
         log.run(100, this::ticks);
         assertThat(one.shard.isOwned()).isTrue();
         assertThat(one.shard.voidRecords()).isEqualTo(1);
--- a/core/src/test/java/org/quetzalshunt/core/quota/QuotaFleetSimulation.java
+++ b/core/src/test/java/org/quetzalshunt/core/quota/QuotaFleetSimulation.java
@@ -78,7 +78,7 @@
                 return;
             }
             stopping = true;
-            VmHeartbeat last = lease.lastHeartbeat();
+            VmHeartbeat last = lease.endWithFinalHeartbeat();
             callStore(this, incarnation, () -> appendHeartbeat(name, last), false, acknowledged -> {});
         }
 
@@ -108,10 +108,10 @@
                         peers.onSnapshot(clock());
                     }
                     peers.onReadComplete(sent);
-                    leases.settle();
+                    leases.reconcile();
                     renew(processIncarnation);
                 });
-                boolean settled = lease.inForce(clock()) && leases.settled();
+                boolean settled = lease.inForce(clock()) && leases.isSettled();
                 at(now + RenewalInterval.nextMillis(settled), () -> pollHeartbeats(processIncarnation));
             });
         }
@@ -126,9 +126,9 @@
             callStore(this, processIncarnation, () -> appendHeartbeat(name, heartbeat), false, acknowledged -> {
                 sending = false;
                 if (acknowledged.isPresent()) {
-                    lease.renewed(clock(), sent, heartbeat);
+                    lease.onRenewalAcknowledged(clock(), sent, heartbeat);
                     if (heartbeat.epoch() > VmLease.FIRST_EPOCH) {
-                        leases.settle();
+                        leases.reconcile();
                     }
                 }
             });
--- a/core/src/test/java/org/quetzalshunt/core/routing/EvacuationTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/EvacuationTest.java
@@ -19,7 +19,7 @@
     private static final int PER_DATA_CENTRE = 3;
     private static final int REQUESTS = 200;
 
-    private final EndpointTable table = EndpointTable.create("a", 7, Policy.whole());
+    private final EndpointTable table = EndpointTable.create("a", 7, Policy.allEnabled());
 
     @BeforeEach
     void register() {
@@ -32,7 +32,7 @@
 
     private void register(String dataCentre, int number) {
         String address = "10.0." + DATA_CENTRES.indexOf(dataCentre) + "." + number + ":80";
-        table.registered(0, new Registration(dataCentre + number, "llm", address, dataCentre, 8, false, 0, 1));
+        table.register(0, new Registration(dataCentre + number, "llm", address, dataCentre, 8, false, 0, 1));
     }
 
     private static RoutingRequest request(EndpointLimits limits) {
--- a/server/src/main/java/org/quetzalshunt/server/entry/CallRun.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/CallRun.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.quetzalshunt.core.decision.Dispatch;
-import org.quetzalshunt.core.decision.Finish;
+import org.quetzalshunt.core.decision.FinishedAttempt;
 import org.quetzalshunt.core.decision.WorkItem;
 import org.quetzalshunt.core.document.ServiceLimits;
 import org.quetzalshunt.core.program.CallRequest;
@@ -72,7 +72,7 @@
             return;
         }
         done = true;
-        shard.withdrawCall(call.get());
+        shard.cancelCall(call.get());
         sendRefusal(Refusal.notRunRetryAfter(
                 ResultCode.LOG_UNAVAILABLE, "the call's intent could not be written to the log in time", 1_000));
     }
@@ -142,7 +142,8 @@
         boolean unknown = mayHaveRun || attemptId.isPresent();
         sendRefusal(
                 unknown
-                        ? Refusal.after(ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, "the owner of the shard changed")
+                        ? Refusal.withExecution(
+                                ResultCode.OUTCOME_UNKNOWN, Execution.UNKNOWN, "the owner of the shard changed")
                         : Refusal.notRunRetryAfter(ResultCode.NOT_OWNER, "the owner of the shard changed", 1_000));
     }
 
@@ -177,13 +178,13 @@
                 && outcome.code() != ResultCode.DEADLINE_PASSED_RUNNING
                 && outcome.code() != ResultCode.STALE_EPOCH
                 && attemptCount < MAXIMUM_ATTEMPTS
-                && owner.workDispatcher().scheduler().mayRetry(owner.clock().now(), service);
+                && owner.workDispatcher().scheduler().tryTakeRetry(owner.clock().now(), service);
         if (retry) {
             start();
             return;
         }
         ResultCode code = mayHaveRun && !repeatable ? ResultCode.OUTCOME_UNKNOWN : outcome.code();
-        fail(Refusal.after(
+        fail(Refusal.withExecution(
                 code, mayHaveRun ? Execution.UNKNOWN : Execution.NOT_RUN, attemptCount + " attempts were made"));
     }
 
@@ -215,7 +216,7 @@
         @Override
         public void onExpired(Refusal refusal) {
             queuedItem = Optional.empty();
-            fail(mayHaveRun ? Refusal.after(refusal.code(), Execution.UNKNOWN, refusal.detail()) : refusal);
+            fail(mayHaveRun ? Refusal.withExecution(refusal.code(), Execution.UNKNOWN, refusal.detail()) : refusal);
         }
     }
 
@@ -248,8 +249,8 @@
                     .finished(
                             dispatch.item(),
                             outcome.isComplete()
-                                    ? Finish.ok(0, 0, 1, duration, duration)
-                                    : Finish.endpointFailed(0, duration));
+                                    ? FinishedAttempt.ok(0, 0, 1, duration, duration)
+                                    : FinishedAttempt.endpointFailed(0, duration));
             if (done) {
                 return;
             }
--- a/server/src/main/java/org/quetzalshunt/server/entry/ChatRun.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ChatRun.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 import java.util.Optional;
 import org.quetzalshunt.core.decision.Dispatch;
-import org.quetzalshunt.core.decision.Finish;
+import org.quetzalshunt.core.decision.FinishedAttempt;
 import org.quetzalshunt.core.decision.WorkItem;
 import org.quetzalshunt.core.program.Shard;
 import org.quetzalshunt.core.program.StoredAnswer;
+import org.quetzalshunt.core.program.TokenUsage;
 import org.quetzalshunt.core.program.TurnResult;
 import org.quetzalshunt.core.program.TurnStart;
-import org.quetzalshunt.core.program.TurnUsage;
 import org.quetzalshunt.core.result.Execution;
 import org.quetzalshunt.core.result.Refusal;
 import org.quetzalshunt.core.result.ResultCode;
@@ -75,7 +75,7 @@
         if (done || request.hasCallerIdempotencyKey()) {
             return;
         }
-        fail(Refusal.after(
+        fail(Refusal.withExecution(
                 ResultCode.CANCELLED,
                 mayHaveRun ? Execution.RAN : Execution.NOT_RUN,
                 "the caller closed the connection"));
@@ -112,7 +112,7 @@
      */
     private Refusal ownershipRefusal() {
         return sink.started()
-                ? Refusal.after(
+                ? Refusal.withExecution(
                         ResultCode.OUTCOME_UNKNOWN,
                         Execution.UNKNOWN,
                         "the owner of the shard changed; send the request again")
@@ -125,7 +125,7 @@
             shard.failTurn(owner.clock().now(), turn);
             return;
         }
-        shard.chargeLostAttempt(
+        shard.chargeFailedAttempt(
                 turn, withinBudget -> shard.failTurn(owner.clock().now(), turn));
     }
 
@@ -164,15 +164,15 @@
 
     private void complete(AttemptOutcome outcome) {
         TurnStart turn = turnStart.orElseThrow();
-        TurnUsage usage =
-                outcome.usage().orElse(new TurnUsage(turn.contextTokens() + turn.newBytes(), 0, completion.deltas()));
+        TokenUsage usage =
+                outcome.usage().orElse(new TokenUsage(turn.contextTokens() + turn.newBytes(), 0, completion.deltas()));
         StoredAnswer stored = new StoredAnswer(200, "application/json", completion.body(usage));
         TurnResult result = new TurnResult(ChatBody.canonical(completion.message()), stored, usage);
         done = true;
         shard.endTurn(owner.clock().now(), turn, result, accepted -> onTurnRecorded(accepted, turn, stored, usage));
     }
 
-    private void onTurnRecorded(boolean accepted, TurnStart turn, StoredAnswer stored, TurnUsage usage) {
+    private void onTurnRecorded(boolean accepted, TurnStart turn, StoredAnswer stored, TokenUsage usage) {
         owner.chatRuns().remove(request.requestId());
         if (!accepted) {
             Refusal refusal = ownershipRefusal();
@@ -205,13 +205,13 @@
         boolean retry = isRetryable(outcome.code())
                 && attemptCount < MAXIMUM_ATTEMPTS
                 && !sink.started()
-                && owner.workDispatcher().scheduler().mayRetry(owner.clock().now(), body.service());
+                && owner.workDispatcher().scheduler().tryTakeRetry(owner.clock().now(), body.service());
         if (outcome.execution() == Execution.NOT_RUN) {
             retryOrFail(retry, outcome);
             return;
         }
         mayHaveRun = true;
-        shard.chargeLostAttempt(turnStart.orElseThrow(), withinBudget -> retryOrFail(retry && withinBudget, outcome));
+        shard.chargeFailedAttempt(turnStart.orElseThrow(), withinBudget -> retryOrFail(retry && withinBudget, outcome));
     }
 
     private void retryOrFail(boolean retry, AttemptOutcome outcome) {
@@ -223,7 +223,7 @@
             return;
         }
         Execution execution = mayHaveRun ? Execution.RAN : Execution.NOT_RUN;
-        fail(Refusal.after(outcome.code(), execution, "failed after " + attemptCount + " attempts"));
+        fail(Refusal.withExecution(outcome.code(), execution, "failed after " + attemptCount + " attempts"));
     }
 
     private static boolean isRetryable(ResultCode code) {
@@ -255,7 +255,7 @@
         @Override
         public void onExpired(Refusal refusal) {
             queuedItem = Optional.empty();
-            fail(mayHaveRun ? Refusal.after(refusal.code(), Execution.RAN, refusal.detail()) : refusal);
+            fail(mayHaveRun ? Refusal.withExecution(refusal.code(), Execution.RAN, refusal.detail()) : refusal);
         }
     }
 
@@ -298,13 +298,13 @@
             attemptFailed(dispatch.endpoint(), outcome);
         }
 
-        private Finish finish(AttemptOutcome outcome) {
+        private FinishedAttempt finish(AttemptOutcome outcome) {
             long duration = owner.clock().now() - startedMillis;
             if (!outcome.isComplete()) {
-                return Finish.endpointFailed(completion.deltas(), duration);
+                return FinishedAttempt.endpointFailed(completion.deltas(), duration);
             }
-            TurnUsage usage = outcome.usage().orElse(new TurnUsage(0, 0, completion.deltas()));
-            return Finish.ok(
+            TokenUsage usage = outcome.usage().orElse(new TokenUsage(0, 0, completion.deltas()));
+            return FinishedAttempt.ok(
                     usage.promptTokens(),
                     usage.cachedTokens(),
                     usage.completionTokens(),
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryDump.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryDump.java
@@ -64,7 +64,7 @@
 
     private ObjectNode configurationNode() {
         ObjectNode node = stream(configurationStream.session());
-        node.put("complete", configurationStream.configuration().complete());
+        node.put("complete", configurationStream.configuration().isComplete());
         node.put("fresh", configurationStream.isFresh());
         node.put("ageMillis", configurationStream.freshness().ageMillis(clock.now()));
         node.put("invalidRecords", configurationStream.configuration().invalidRecords());
@@ -74,10 +74,10 @@
     private static ObjectNode stream(StreamSession session) {
         return Json.object()
                 .put("stream", session.stream())
-                .put("next", session.next())
-                .put("backlog", session.backlog())
-                .put("caughtUp", session.caughtUp())
-                .put("available", session.available());
+                .put("next", session.nextOffset())
+                .put("backlog", session.backlogRecords())
+                .put("caughtUp", session.isCaughtUp())
+                .put("available", session.isAvailable());
     }
 
     /** The entries, with the state known to this entry, and the sidecars in the VM list. */
@@ -92,7 +92,7 @@
             node.put("alive", member.alive());
             node.put("leaving", member.leaving());
             node.put("configurationNext", member.configurationNext());
-            node.put("lastHeardMillisAgo", clock.now() - member.lastHeardMillis());
+            node.put("lastHeardMillisAgo", clock.now() - member.lastHeartbeatMillis());
             ArrayNode owned = node.putArray("ownedShards");
             member.ownedShards().forEach(owned::add);
         }
@@ -116,7 +116,7 @@
             node.put("owned", shard.isOwned());
             shard.owner().ifPresent(id -> node.put("owner", id.toString()));
             node.put("voidRecords", shard.voidRecords());
-            shard.measure(node::put);
+            shard.reportGauges(node::put);
             node.set("stream", stream(sessions.get(shard.number())));
         }
         return array;
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryProcess.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryProcess.java
@@ -165,7 +165,7 @@
         return workDispatcher.scheduler().queued() + workDispatcher.scheduler().running() > 0
                 || router.waitingRequests() > 0
                 || shards.hasBacklog()
-                || configurationStream.session().backlog() > 0
+                || configurationStream.session().backlogRecords() > 0
                 || rateLimiter.hasWaitingRequests();
     }
 
@@ -196,9 +196,9 @@
         membership.onVmList(clock.now(), vms);
         workDispatcher
                 .scheduler()
-                .entriesChanged(Math.max(1, membership.liveEntries().size()));
+                .setEntryCount(Math.max(1, membership.liveEntries().size()));
         joinPeriod.onVmListRead();
-        connector.want(peers.wantedAddresses());
+        connector.setAddresses(peers.wantedAddresses());
     }
 
     private void onLink(LinkEventAdapter.Event event) {
@@ -285,7 +285,7 @@
                 && owner.callRuns().isEmpty()
                 && router.forwardedRequests() == 0
                 && router.waitingRequests() == 0
-                && (rateLimiter.limits().handedOver()
+                && (rateLimiter.limits().isHandoverComplete()
                         || membership.liveEntries().size() <= 1);
         if (idle || clock.now() > stopDeadlineMillis) {
             Logger.info("stopped, all requests and handovers finished: {}", idle);
--- a/server/src/main/java/org/quetzalshunt/server/entry/FleetRateLimiter.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/FleetRateLimiter.java
@@ -80,7 +80,7 @@
         }
         for (AccountKey removed : Set.copyOf(knownAccounts)) {
             if (!present.contains(removed)) {
-                limits.removed(
+                limits.removeAccount(
                         clock.now(),
                         removed.service(),
                         removed.account(),
@@ -91,7 +91,7 @@
     }
 
     private void applyAccount(AccountKey key, ClientAccount account, long version) {
-        limits.documentChanged(
+        limits.setLimits(
                 clock.now(), key.service(), key.account(), account.requestsPerSecond(), account.burst(), version);
     }
 
@@ -120,7 +120,7 @@
     }
 
     void leave() {
-        limits.leaving(clock.now());
+        limits.startLeaving(clock.now());
     }
 
     /** Whether this entry may use tokens. Until then it would refuse requests that are within their rate. */
--- a/server/src/main/java/org/quetzalshunt/server/entry/OwnerContext.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/OwnerContext.java
@@ -51,7 +51,7 @@
     void releaseFormerCache(String program, String endpoint) {
         boolean isMoved = workDispatcher
                 .scheduler()
-                .cachedAt(program)
+                .prefixEndpoint(program)
                 .filter(former -> !former.equals(endpoint))
                 .isPresent();
         if (isMoved) {
@@ -61,6 +61,6 @@
 
     void onProgramEnded(String program) {
         cacheReleaser.accept(program);
-        workDispatcher.scheduler().cacheForgotten(program);
+        workDispatcher.scheduler().removePrefixLocation(program);
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/entry/Peers.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/Peers.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quetzalshunt.core.membership.HeartbeatNews;
 import org.quetzalshunt.core.membership.Member;
+import org.quetzalshunt.core.membership.MemberHeartbeat;
 import org.quetzalshunt.core.membership.Membership;
 import org.quetzalshunt.core.vm.Vm;
 import org.quetzalshunt.core.vm.VmId;
@@ -72,7 +72,7 @@
         if (heartbeat.isSetEchoedSentMillis()) {
             configurationStream
                     .freshness()
-                    .heard(
+                    .onPeerReport(
                             link.remote().id().name(),
                             heartbeat.getConfigurationNext(),
                             heartbeat.getConfigurationAgeMillis(),
@@ -85,15 +85,15 @@
      */
     void tick(Map<String, PeerLink> sidecars, List<Integer> ownedShards, boolean leaving) {
         long now = clock.now();
-        membership.describeSelf(
-                configurationStream.configuration().next(),
+        membership.announceState(
+                configurationStream.configuration().nextOffset(),
                 configurationStream.freshness().ageMillis(now),
                 leaving,
                 ownedShards);
         membership.tick(now);
         configurationStream
                 .freshness()
-                .peersListed(membership.entries().stream()
+                .setPeers(membership.entries().stream()
                         .map(member -> member.id().name())
                         .filter(name -> !name.equals(self.name()))
                         .toList());
@@ -114,8 +114,8 @@
         link.send(heartbeat(link.remote().id().name(), List.of()));
     }
 
-    private Message heartbeat(String target, List<HeartbeatNews> digest) {
-        Heartbeat heartbeat = HeartbeatCodec.encode(membership.ownNews(), digest, clock.now());
+    private Message heartbeat(String target, List<MemberHeartbeat> digest) {
+        Heartbeat heartbeat = HeartbeatCodec.encode(membership.ownHeartbeat(), digest, clock.now());
         Long echoedSentMillis = lastSentMillisByPeer.get(target);
         if (echoedSentMillis != null) {
             heartbeat.setEchoedSentMillis(echoedSentMillis);
--- a/server/src/main/java/org/quetzalshunt/server/entry/WorkDispatcher.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/WorkDispatcher.java
@@ -5,8 +5,8 @@
 import org.agrona.collections.Long2ObjectHashMap;
 import org.quetzalshunt.core.decision.Dispatch;
 import org.quetzalshunt.core.decision.EndpointState;
-import org.quetzalshunt.core.decision.Expired;
-import org.quetzalshunt.core.decision.Finish;
+import org.quetzalshunt.core.decision.ExpiredRequest;
+import org.quetzalshunt.core.decision.FinishedAttempt;
 import org.quetzalshunt.core.decision.Scheduler;
 import org.quetzalshunt.core.decision.WorkItem;
 import org.quetzalshunt.core.result.Refusal;
@@ -49,17 +49,17 @@
     }
 
     void progressed(WorkItem item, long outputTokens) {
-        scheduler.progressed(clock.now(), item.id(), outputTokens);
+        scheduler.recordProgress(clock.now(), item.id(), outputTokens);
     }
 
-    void finished(WorkItem item, Finish finish) {
+    void finished(WorkItem item, FinishedAttempt finish) {
         workById.remove(item.id());
-        scheduler.finished(clock.now(), item.id(), finish);
+        scheduler.recordFinish(clock.now(), item.id(), finish);
         tick();
     }
 
     void endpointReported(EndpointState state) {
-        scheduler.endpointReported(clock.now(), state);
+        scheduler.recordReport(clock.now(), state);
         tick();
     }
 
@@ -70,7 +70,7 @@
         }
         isDispatching = true;
         try {
-            for (Expired expired : scheduler.expire(clock.now())) {
+            for (ExpiredRequest expired : scheduler.expire(clock.now())) {
                 QueuedWork work = workById.remove(expired.item().id());
                 if (work != null) {
                     work.onExpired(expired.refusal());
@@ -79,7 +79,7 @@
             for (Dispatch dispatch : scheduler.tick(clock.now())) {
                 QueuedWork work = workById.get(dispatch.item().id());
                 if (work == null) {
-                    scheduler.finished(clock.now(), dispatch.item().id(), Finish.cancelled(0, 0));
+                    scheduler.recordFinish(clock.now(), dispatch.item().id(), FinishedAttempt.cancelled(0, 0));
                     continue;
                 }
                 work.onDispatched(dispatch);
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
@@ -10,10 +10,10 @@
 import org.quetzalshunt.core.quota.TokenSearch;
 import org.quetzalshunt.core.result.Refusal;
 import org.quetzalshunt.core.result.ResultCode;
-import org.quetzalshunt.core.route.AccountTerms;
+import org.quetzalshunt.core.route.AccountConfiguration;
 import org.quetzalshunt.core.route.RequestKind;
 import org.quetzalshunt.core.route.Route;
-import org.quetzalshunt.core.route.ServiceEntry;
+import org.quetzalshunt.core.route.ServiceConfiguration;
 import org.quetzalshunt.core.route.TrafficConfiguration;
 import org.quetzalshunt.server.http.HttpExchange;
 
@@ -64,7 +64,7 @@
             // ready VMs.
             exchange.closeAfterAnswer();
         }
-        Optional<CallerRequest> request = gateway.dialect().request(exchange);
+        Optional<CallerRequest> request = gateway.dialect().decodeRequest(exchange);
         if (request.isEmpty()) {
             refuse(exchange, "", Refusal.notRun(ResultCode.MALFORMED_REQUEST, "the request has no id"));
             return;
@@ -84,8 +84,8 @@
         }
         TrafficConfiguration configuration = current.get();
         Optional<Route> route = configuration.routes().find(request.host(), request.path());
-        boolean open = route.filter(Route::open).isPresent();
-        if (!isCurrent() && configuration.keysRequired() && !open) {
+        boolean keyless = route.filter(Route::keyless).isPresent();
+        if (!isCurrent() && configuration.keysRequired() && !keyless) {
             if (!awaitRecovery(received, this::isCurrent)) {
                 refuse(
                         received,
@@ -97,8 +97,8 @@
             refuse(received, Refusal.notRun(ResultCode.UNKNOWN_PATH, "no route"));
             return;
         }
-        Optional<AccountTerms> account = request.key().flatMap(configuration::accountOf);
-        if (configuration.keysRequired() && !open && account.isEmpty()) {
+        Optional<AccountConfiguration> account = request.key().flatMap(configuration::accountOf);
+        if (configuration.keysRequired() && !keyless && account.isEmpty()) {
             ResultCode code = request.key().isEmpty() ? ResultCode.MISSING_KEY : ResultCode.UNKNOWN_KEY;
             refuse(received, Refusal.notRun(code, "checked against configuration version " + configuration.version()));
             return;
@@ -113,7 +113,7 @@
     }
 
     private boolean isCurrent() {
-        return gateway.configuration().ageMillis() < gateway.settings().keyAgeMillis();
+        return gateway.configuration().ageMillis() < gateway.settings().maximumKeyAgeMillis();
     }
 
     /**
@@ -122,7 +122,7 @@
      */
     private boolean awaitRecovery(ReceivedRequest received, BooleanSupplier ready) {
         long until = received.arrivedMillis() + OutageWaitPolicy.maximumWaitMillis(received.callerTimeoutMillis());
-        boolean worthWaiting = gateway.settings().policy().has(Mechanism.OUTAGE_WAIT)
+        boolean worthWaiting = gateway.settings().policy().isEnabled(Mechanism.OUTAGE_WAIT)
                 && !stopping.getAsBoolean()
                 && !gateway.isolatedFromStore()
                 && gateway.clock().now() < until;
@@ -144,9 +144,12 @@
     }
 
     private void admit(
-            ReceivedRequest received, TrafficConfiguration configuration, Route route, Optional<AccountTerms> account) {
+            ReceivedRequest received,
+            TrafficConfiguration configuration,
+            Route route,
+            Optional<AccountConfiguration> account) {
         CallerRequest request = received.request();
-        ServiceEntry service = configuration
+        ServiceConfiguration service = configuration
                 .services()
                 .get(route.serviceFor(request.program().orElse(request.id()).hashCode()));
         if (service == null) {
@@ -164,7 +167,7 @@
                 received.arrivedMillis(),
                 deadline,
                 new RequestTimeline(gateway.clock(), received.arrivedMillis()),
-                gateway.endpoints().mayCache(gateway.clock().now(), service.name(), request.prefixParts()));
+                gateway.endpoints().mayHavePrefixCached(gateway.clock().now(), service.name(), request.prefixParts()));
         if (gateway.crashes().isQuarantined(admitted)) {
             Refusal refusal =
                     Refusal.notRun(ResultCode.CRASHES_ENDPOINTS, "it was running at three endpoints that crashed");
@@ -195,12 +198,12 @@
         takeRateToken(received, admitted, account.get());
     }
 
-    private void takeRateToken(ReceivedRequest received, AdmittedRequest admitted, AccountTerms account) {
+    private void takeRateToken(ReceivedRequest received, AdmittedRequest admitted, AccountConfiguration account) {
         long left = admitted.deadlineMillis() - gateway.clock().now();
-        boolean urgent = gateway.settings().policy().has(Mechanism.URGENT_STARTS)
+        boolean urgent = gateway.settings().policy().isEnabled(Mechanism.URGENT_STARTS)
                 && admitted.route().priority() == HIGHEST_PRIORITY;
         boolean startsWithoutWait =
-                gateway.settings().policy().has(Mechanism.STARTS_WITHOUT_WAIT) && admitted.beginsProgram();
+                gateway.settings().policy().isEnabled(Mechanism.STARTS_WITHOUT_WAIT) && admitted.beginsProgram();
         long maximumWait = startsWithoutWait
                 ? QuotaWaitPolicy.START_WAIT_MILLIS
                 : QuotaWaitPolicy.maximumWaitMillis(admitted.beginsProgram(), urgent, left);
@@ -208,7 +211,7 @@
             if (result instanceof TokenSearch.Result.Granted granted) {
                 runAfter(granted.waitMillis(), admitted);
             } else if (result instanceof TokenSearch.Result.OverQuota overQuota) {
-                refuseOverQuota(admitted, account, overQuota.shortestMillis());
+                refuseOverQuota(admitted, account, overQuota.shortestWaitMillis());
             } else {
                 refuseNoHolder(received, admitted);
             }
@@ -262,13 +265,13 @@
         ResultReporter.refuse(gateway, admitted, refusal, Optional.empty());
     }
 
-    private void refuseOverQuota(AdmittedRequest admitted, AccountTerms account, long shortestMillis) {
+    private void refuseOverQuota(AdmittedRequest admitted, AccountConfiguration account, long shortestWaitMillis) {
         boolean delayedStart =
-                gateway.settings().policy().has(Mechanism.PROGRAM_START_DELAY) && admitted.beginsProgram();
+                gateway.settings().policy().isEnabled(Mechanism.PROGRAM_START_DELAY) && admitted.beginsProgram();
         long left = admitted.deadlineMillis() - gateway.clock().now();
         double chance = ThreadLocalRandom.current().nextDouble();
         long wait = QuotaWaitPolicy.retryAfterMillis(delayedStart, account.ratePerSecond(), left, chance);
-        String detail = "rate " + account.ratePerSecond() + ", token in " + shortestMillis + " ms";
+        String detail = "rate " + account.ratePerSecond() + ", token in " + shortestWaitMillis + " ms";
         Refusal refusal = Refusal.notRunRetryAfter(ResultCode.RATE_EXCEEDED, detail, wait);
         ResultReporter.refuse(gateway, admitted, refusal, Optional.empty());
     }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmittedRequest.java
@@ -5,11 +5,11 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.quetzalshunt.core.quota.OutageWaitPolicy;
-import org.quetzalshunt.core.route.AccountTerms;
-import org.quetzalshunt.core.route.EngineShape;
+import org.quetzalshunt.core.route.AccountConfiguration;
+import org.quetzalshunt.core.route.EngineCapacity;
 import org.quetzalshunt.core.route.RequestKind;
 import org.quetzalshunt.core.route.Route;
-import org.quetzalshunt.core.route.ServiceEntry;
+import org.quetzalshunt.core.route.ServiceConfiguration;
 import org.quetzalshunt.server.http.HttpExchange;
 
 /**
@@ -19,7 +19,7 @@
  * @param request the decoded request
  * @param route route that matched its host and path
  * @param service service that the route selected
- * @param account client account that its API key belongs to; empty on an open route
+ * @param account client account that its API key belongs to; empty on a keyless route
  * @param configurationVersion configuration version that it was checked against
  * @param arrivedMillis when it was fully received, on this VM's clock
  * @param deadlineMillis when its final response is due: the earlier of the caller's and the route's timeout
@@ -31,8 +31,8 @@
         HttpExchange exchange,
         CallerRequest request,
         Route route,
-        ServiceEntry service,
-        Optional<AccountTerms> account,
+        ServiceConfiguration service,
+        Optional<AccountConfiguration> account,
         long configurationVersion,
         long arrivedMillis,
         long deadlineMillis,
@@ -53,17 +53,17 @@
      * equally ranked accounts by the priority of their route.
      */
     int urgency() {
-        int accountPriority = account.map(AccountTerms::priority).orElse(0);
+        int accountPriority = account.map(AccountConfiguration::priority).orElse(0);
         return PRIORITY_LEVELS * Math.max(0, accountPriority)
                 + Math.min(PRIORITY_LEVELS - 1, Math.max(0, route.priority()));
     }
 
     String accountName() {
-        return account.map(AccountTerms::name).orElse("");
+        return account.map(AccountConfiguration::name).orElse("");
     }
 
     int tokensPerEvent() {
-        return service.engine().map(EngineShape::tokensPerEvent).orElse(1);
+        return service.engine().map(EngineCapacity::tokensPerEvent).orElse(1);
     }
 
     /** Maximum number of tokens that the turn may generate, rounded up to whole events. */
@@ -103,7 +103,7 @@
         return route.kind() == RequestKind.STREAM
                 && !promptMayBeCached
                 && request.previousTurn().isEmpty()
-                && (request.line().isEmpty() || request.line().equals(request.program()));
+                && (request.conversation().isEmpty() || request.conversation().equals(request.program()));
     }
 
     /** Whether the turn needs no stored history of earlier turns. */
@@ -123,7 +123,8 @@
      * @param regions region of each data centre
      */
     Optional<Set<String>> homeDataCentres(Map<String, String> regions) {
-        Set<String> accountRegions = account.map(AccountTerms::allowedRegions).orElse(Set.of());
+        Set<String> accountRegions =
+                account.map(AccountConfiguration::allowedRegions).orElse(Set.of());
         if (route.allowedRegions().isEmpty() && accountRegions.isEmpty()) {
             return Optional.empty();
         }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/BufferedForwarder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/BufferedForwarder.java
@@ -98,7 +98,7 @@
             return;
         }
         if (markFinished()) {
-            admitted.exchange().respond(status, gateway.dialect().inbound(headers), body.toByteArray());
+            admitted.exchange().respond(status, gateway.dialect().callerResponseHeaders(headers), body.toByteArray());
             ResultReporter.logResult(gateway, admitted, ResultCode.OK, "status " + status, Optional.of(call));
         }
     }
@@ -119,22 +119,26 @@
             attempt();
             return;
         }
-        refuse(Refusal.after(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, reason));
+        refuse(Refusal.withExecution(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, reason));
     }
 
     @Override
     public void onRefused(Refusal refusal) {
         cancelAttemptTimeout();
         // An earlier attempt may have run, so that reporting "not run" could be false.
-        refuse(attempts > 1 ? Refusal.after(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, refusal.detail()) : refusal);
+        refuse(
+                attempts > 1
+                        ? Refusal.withExecution(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, refusal.detail())
+                        : refusal);
     }
 
     private void onDeadline() {
         boolean mayHaveRun = call.isRunning() || attempts > 1;
-        call.cancel(AttemptOutcome.ofLate(headers != null));
+        call.cancel(AttemptOutcome.ofTimeout(headers != null));
         refuse(
                 mayHaveRun
-                        ? Refusal.after(ResultCode.DEADLINE_PASSED_RUNNING, Execution.UNKNOWN, "no answer in time")
+                        ? Refusal.withExecution(
+                                ResultCode.DEADLINE_PASSED_RUNNING, Execution.UNKNOWN, "no answer in time")
                         : Refusal.notRun(ResultCode.DEADLINE_UNREACHABLE, "no endpoint took it in time"));
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.TimeUnit;
 import org.quetzalshunt.core.result.Refusal;
 import org.quetzalshunt.core.result.ResultCode;
-import org.quetzalshunt.core.route.EngineShape;
+import org.quetzalshunt.core.route.EngineCapacity;
 import org.quetzalshunt.core.route.RequestKind;
 import org.quetzalshunt.core.routing.AttemptOutcome;
 import org.quetzalshunt.core.routing.EndpointLimits;
 import org.quetzalshunt.core.routing.Registration;
 import org.quetzalshunt.core.routing.RoutingRequest;
 import org.quetzalshunt.core.routing.Selection;
-import org.quetzalshunt.server.http.CallTimes;
+import org.quetzalshunt.server.http.CallTimeouts;
 import org.quetzalshunt.server.http.HttpCall;
 import org.quetzalshunt.server.http.HttpResponseListener;
 import org.quetzalshunt.server.http.IpPort;
@@ -180,13 +180,13 @@
         attemptCount++;
         excluded.add(endpoint.id());
         gateway.endpoints().started(endpoint.id());
-        gateway.endpoints().prompted(endpoint.id(), request, selection.uncachedTokens());
+        gateway.endpoints().recordPrompt(endpoint.id(), request, selection.uncachedTokens());
         prefillDone = false;
         startHeadersTimeout();
         call = gateway.http()
                 .send(
                         outboundRequest(remainingMillis),
-                        callTimes(remainingMillis),
+                        callTimeouts(remainingMillis),
                         this::isOwnResponse,
                         new ResponseHandler());
     }
@@ -197,7 +197,8 @@
                 Math.max(1, (long) (HEADERS_TIMEOUT_TARGETS * admitted.route().targetLatencyMillis()));
         headersTimeout = gateway.executor()
                 .schedule(
-                        () -> gateway.endpoints().silent(gateway.clock().now(), id),
+                        () -> gateway.endpoints()
+                                .markUnresponsive(gateway.clock().now(), id),
                         timeoutMillis,
                         TimeUnit.MILLISECONDS);
     }
@@ -207,7 +208,7 @@
         int maximumInFlight = Math.max(2, admitted.service().maximumConnections() / liveVms);
         long cacheTokens = admitted.service()
                 .engine()
-                .map(EngineShape::cacheTokens)
+                .map(EngineCapacity::cacheTokens)
                 .filter(tokens -> tokens > 0)
                 .orElse(Long.MAX_VALUE);
         double coldRequestsPerSecond = COLD_RATE_SHARE * admitted.service().coldRequestsPerSecond() / liveVms;
@@ -256,9 +257,9 @@
 
     private OutboundRequest outboundRequest(long remainingMillis) {
         HttpHeaders headers = gateway.dialect()
-                .outbound(
+                .endpointRequestHeaders(
                         admitted.exchange().rawHeaders(),
-                        new OutboundTerms(
+                        new OutboundHeaderValues(
                                 endpoint.id(),
                                 remainingMillis,
                                 admitted.account().map(account -> account.name()),
@@ -276,12 +277,13 @@
         return IpPort.parse(text).orElseThrow();
     }
 
-    private static CallTimes callTimes(long remainingMillis) {
-        return new CallTimes(Math.min(CONNECT_TIMEOUT_MILLIS, remainingMillis), remainingMillis, MAXIMUM_IDLE_MILLIS);
+    private static CallTimeouts callTimeouts(long remainingMillis) {
+        return new CallTimeouts(
+                Math.min(CONNECT_TIMEOUT_MILLIS, remainingMillis), remainingMillis, MAXIMUM_IDLE_MILLIS);
     }
 
     private boolean isOwnResponse(HttpHeaders headers) {
-        return gateway.dialect().answers(admitted.request().id(), headers);
+        return gateway.dialect().isResponseTo(admitted.request().id(), headers);
     }
 
     /**
@@ -291,7 +293,7 @@
     void markPrefillDone() {
         if (!prefillDone) {
             prefillDone = true;
-            gateway.endpoints().prefillDone(endpoint.id(), selection.uncachedTokens());
+            gateway.endpoints().recordPrefillDone(endpoint.id(), selection.uncachedTokens());
         }
     }
 
@@ -311,7 +313,7 @@
         @Override
         public void onHead(int status, HttpHeaders headers) {
             headersTimeout.cancel(false);
-            head = gateway.dialect().head(status, headers);
+            head = gateway.dialect().responseKind(status, headers);
             if (isForwarded()) {
                 listener.onHead(head, status, headers);
                 return;
--- a/server/src/main/java/org/quetzalshunt/server/gateway/PeerConnections.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/PeerConnections.java
@@ -113,8 +113,8 @@
         }
         LinkIdentity self =
                 new LinkIdentity(VmId.of(settings.vm(), settings.incarnation()), VmRole.ENTRY, settings.dataCentre());
-        LinkSettings linkSettings = new LinkSettings(self, secret, BroadcastInterval.SILENCE_MILLIS);
-        LinkServer.startLater(group, settings.links(), linkSettings, this);
+        LinkSettings linkSettings = new LinkSettings(self, secret, BroadcastInterval.PEER_TIMEOUT_MILLIS);
+        LinkServer.startAsync(group, settings.linkAddress(), linkSettings, this);
         connector = LinkConnector.create(group, linkSettings, this);
         broadcast.start();
     }
@@ -136,7 +136,7 @@
                 IpPort.parse(heartbeat.linkAddress()).ifPresent(addresses::add);
             }
         });
-        connector.want(addresses);
+        connector.setAddresses(addresses);
     }
 
     private Optional<PeerLink> link(String vm) {
@@ -239,7 +239,7 @@
         if (loads.isSetUnread()) {
             endpoints.onPeerPrefillBacklog(vm, loads.getUnread());
         }
-        endpoints.onPeerPrefixes(LoadBroadcast.locations(loads));
+        endpoints.onPeerPrefixLocations(LoadBroadcast.locations(loads));
         storeContacts.onReport(vm, peer.dataCentre(), loads.getProofAgeMillis());
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/RegistrationFollower.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/RegistrationFollower.java
@@ -83,7 +83,7 @@
     }
 
     void start() {
-        endpoints.sweep(clock.now());
+        endpoints.removeDue(clock.now());
         if (next < 0) {
             readAll("", new HashSet<>());
         } else {
@@ -169,12 +169,12 @@
             return;
         }
         logIfChanged(registration.get());
-        endpoints.registered(clock.now(), registration.get());
+        endpoints.register(clock.now(), registration.get());
     }
 
     private void logIfChanged(Registration registration) {
         Optional<Registration> previous = endpoints.find(registration.id());
-        if (previous.filter(registration::sameAs).isPresent()) {
+        if (previous.filter(registration::equalsExceptColdTime).isPresent()) {
             return;
         }
         log.write(log.event("endpoint")
@@ -183,7 +183,9 @@
                 .put("address", registration.address())
                 .put("leaving", registration.leaving())
                 .put("coldMillis", registration.coldMillis())
-                .put("restarted", previous.isPresent() && previous.get().bornMillis() != registration.bornMillis()));
+                .put(
+                        "restarted",
+                        previous.isPresent() && previous.get().startedMillis() != registration.startedMillis()));
     }
 
     private void remove(String id) {
@@ -194,9 +196,9 @@
         boolean deferred = now < deferRemovalsUntilMillis;
         log.write(log.event("endpoint-gone").put("id", id).put("held", deferred));
         if (deferred) {
-            endpoints.removedAt(id, deferRemovalsUntilMillis);
+            endpoints.scheduleRemoval(id, deferRemovalsUntilMillis);
         } else {
-            endpoints.removed(id);
+            endpoints.remove(id);
         }
     }
 }
--- a/server/src/main/java/org/quetzalshunt/server/gateway/StreamForwarder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/StreamForwarder.java
@@ -131,7 +131,7 @@
         // The endpoint may have run the turn already, so that neither "budget exhausted" nor "not run" would be a true
         // result.
         call.cancel(AttemptOutcome.NEUTRAL);
-        fail(Refusal.after(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, refusal.detail()));
+        fail(Refusal.withExecution(ResultCode.ENDPOINT_FAILED, Execution.UNKNOWN, refusal.detail()));
     }
 
     private Refusal toRefusal(BudgetManager.Verdict verdict) {
@@ -202,7 +202,7 @@
         }
         if (!bufferedEvents.isEmpty()) {
             if (!admitted.exchange().started()) {
-                admitted.exchange().begin(status, gateway.dialect().inbound(headers));
+                admitted.exchange().begin(status, gateway.dialect().callerResponseHeaders(headers));
                 gateway.metrics().recordFirstEvent(gateway.clock().now() - admitted.arrivedMillis());
             }
             bufferedEvents.forEach(admitted.exchange()::write);
@@ -235,7 +235,8 @@
 
     private void forwardFailure() {
         markFinished();
-        admitted.exchange().respond(status, gateway.dialect().inbound(headers), failureBody.toByteArray());
+        admitted.exchange()
+                .respond(status, gateway.dialect().callerResponseHeaders(headers), failureBody.toByteArray());
         ResultReporter.logResult(gateway, admitted, ResultCode.ENDPOINT_FAILED, "status " + status, Optional.of(call));
     }
 
@@ -278,7 +279,7 @@
         }
         markFinished();
         if (!admitted.exchange().started()) {
-            admitted.exchange().begin(status, gateway.dialect().inbound(headers));
+            admitted.exchange().begin(status, gateway.dialect().callerResponseHeaders(headers));
         }
         admitted.exchange().end();
         ResultReporter.logResult(gateway, admitted, ResultCode.OK, sentEvents + " events", Optional.of(call));
@@ -286,7 +287,7 @@
 
     @Override
     public void onBroken(String reason) {
-        fail(Refusal.after(ResultCode.ANSWER_CUT, Execution.UNKNOWN, reason));
+        fail(Refusal.withExecution(ResultCode.ANSWER_CUT, Execution.UNKNOWN, reason));
     }
 
     @Override
@@ -297,11 +298,11 @@
     private void onDeadline() {
         boolean mayHaveRun = (call != null && call.isRunning()) || answerEnded;
         if (call != null) {
-            call.cancel(AttemptOutcome.ofLate(headers != null));
+            call.cancel(AttemptOutcome.ofTimeout(headers != null));
         }
         fail(
                 mayHaveRun
-                        ? Refusal.after(ResultCode.DEADLINE_PASSED_RUNNING, Execution.UNKNOWN, lateDetail())
+                        ? Refusal.withExecution(ResultCode.DEADLINE_PASSED_RUNNING, Execution.UNKNOWN, lateDetail())
                         : Refusal.notRun(ResultCode.DEADLINE_UNREACHABLE, "not sent in time"));
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/ModelRolloutExecutor.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/ModelRolloutExecutor.java
@@ -10,12 +10,12 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import org.quetzalshunt.core.attempt.EngineOrderState;
 import org.quetzalshunt.core.attempt.ModelRollout;
 import org.quetzalshunt.core.attempt.ModelVersion;
-import org.quetzalshunt.core.attempt.OrderAnswer;
 import org.quetzalshunt.core.attempt.RolloutOutput;
+import org.quetzalshunt.core.attempt.RolloutStagger;
 import org.quetzalshunt.core.attempt.RolloutStatus;
-import org.quetzalshunt.core.attempt.RolloutSteps;
 import org.quetzalshunt.core.attempt.WeightsAnswer;
 import org.quetzalshunt.server.http.HttpClient;
 import org.quetzalshunt.wire.json.Json;
@@ -54,9 +54,9 @@
     void setTarget(long version, List<String> names, boolean engineChecksFencing) {
         List<ModelVersion> models = new ArrayList<>();
         names.forEach(name -> ModelVersion.parse(name).ifPresent(models::add));
-        long delayMillis = RolloutSteps.delayMillis(
+        long delayMillis = RolloutStagger.delayMillis(
                 settings.id().name(), version, settings.times().rolloutWindowMillis());
-        rollout.desire(version, models, engineChecksFencing, delayMillis, clock.getAsLong());
+        rollout.updateTarget(version, models, engineChecksFencing, delayMillis, clock.getAsLong());
     }
 
     void onLoad(EndpointLoad load) {
@@ -78,7 +78,7 @@
     private void perform(RolloutOutput output) {
         if (output instanceof RolloutOutput.FetchWeights fetch) {
             fetchWeights(fetch.model());
-        } else if (output instanceof RolloutOutput.GiveOrder order) {
+        } else if (output instanceof RolloutOutput.SendOrder order) {
             byte[] body = Json.bytes(orderBody(order));
             send(
                     settings.endpoint(),
@@ -86,8 +86,8 @@
                     ORDERS_PATH,
                     body,
                     orderTimeoutMillis(),
-                    answer -> onOrderAnswer(parseAcceptance(answer)));
-        } else if (output instanceof RolloutOutput.AskOrder ask) {
+                    answer -> onOrderState(parseAcceptance(answer)));
+        } else if (output instanceof RolloutOutput.QueryOrder ask) {
             String path = ORDERS_PATH + "/" + PathSegments.encode(ask.order());
             send(
                     settings.endpoint(),
@@ -95,7 +95,7 @@
                     path,
                     NO_BODY,
                     orderTimeoutMillis(),
-                    answer -> onOrderAnswer(parseOrderState(answer)));
+                    answer -> onOrderState(parseOrderState(answer)));
         }
     }
 
@@ -115,7 +115,7 @@
                 answer -> rollout.onWeights(parseWeightsAnswer(answer), clock.getAsLong()));
     }
 
-    private void onOrderAnswer(OrderAnswer answer) {
+    private void onOrderState(EngineOrderState answer) {
         rollout.onOrder(answer, clock.getAsLong());
     }
 
@@ -134,7 +134,7 @@
         client.send(address, method, path, headers, body, timeoutMillis, BufferedResponse.collect(receiver));
     }
 
-    private static ObjectNode orderBody(RolloutOutput.GiveOrder order) {
+    private static ObjectNode orderBody(RolloutOutput.SendOrder order) {
         return Json.object()
                 .put("order", order.load() ? "load" : "unload")
                 .put("model", order.model().model())
@@ -142,30 +142,30 @@
                 .put("fencingToken", order.fencingToken());
     }
 
-    private static OrderAnswer parseAcceptance(Optional<BufferedResponse> answer) {
+    private static EngineOrderState parseAcceptance(Optional<BufferedResponse> answer) {
         if (answer.isPresent() && answer.get().status() == STATUS_CONFLICT) {
-            return new OrderAnswer.Fenced();
+            return new EngineOrderState.Fenced();
         }
         Optional<String> order = answer.flatMap(BufferedResponse::json)
                 .map(json -> json.path("order"))
                 .filter(JsonNode::isTextual)
                 .map(JsonNode::asText);
         if (order.isPresent()) {
-            return new OrderAnswer.Accepted(order.get());
+            return new EngineOrderState.Accepted(order.get());
         }
         boolean refused = answer.isPresent() && !answer.get().isSuccess();
-        return refused ? new OrderAnswer.Failed() : new OrderAnswer.Unknown();
+        return refused ? new EngineOrderState.Failed() : new EngineOrderState.Unknown();
     }
 
-    private static OrderAnswer parseOrderState(Optional<BufferedResponse> answer) {
+    private static EngineOrderState parseOrderState(Optional<BufferedResponse> answer) {
         String state = answer.flatMap(BufferedResponse::json)
                 .map(json -> json.path("state").asText())
                 .orElse("");
         return switch (state) {
-            case "running" -> new OrderAnswer.Running();
-            case "done" -> new OrderAnswer.Done();
-            case "failed" -> new OrderAnswer.Failed();
-            default -> new OrderAnswer.Unknown();
+            case "running" -> new EngineOrderState.Running();
+            case "done" -> new EngineOrderState.Done();
+            case "failed" -> new EngineOrderState.Failed();
+            default -> new EngineOrderState.Unknown();
         };
     }
 
@@ -178,7 +178,7 @@
             return new WeightsAnswer.Missing();
         }
         if (response.status() == STATUS_TOO_MANY_REQUESTS) {
-            return new WeightsAnswer.Later(response.retryAfterSeconds().orElse(1) * MILLIS_PER_SECOND);
+            return new WeightsAnswer.RateLimited(response.retryAfterSeconds().orElse(1) * MILLIS_PER_SECOND);
         }
         return response.isSuccess() ? new WeightsAnswer.Ready() : new WeightsAnswer.Unknown();
     }
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/Sidecar.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/Sidecar.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import org.quetzalshunt.core.attempt.EndpointEvent;
 import org.quetzalshunt.core.attempt.EndpointGate;
-import org.quetzalshunt.core.attempt.GateCounts;
 import org.quetzalshunt.core.attempt.GateOutput;
+import org.quetzalshunt.core.attempt.GateStatistics;
 import org.quetzalshunt.core.attempt.RolloutStatus;
 import org.quetzalshunt.core.document.ServiceKind;
 import org.quetzalshunt.core.vm.VmRole;
@@ -89,7 +89,7 @@
     }
 
     private boolean isBusy() {
-        GateCounts counts = gate.counts();
+        GateStatistics counts = gate.counts();
         return counts.running() > 0 || counts.leaving();
     }
 
@@ -107,13 +107,13 @@
 
     /** Refuses new attempts and reports this to every entry at once. */
     void startDraining() {
-        gate.leave();
+        gate.startDraining();
         ticker.wake();
         reports.sendToAll(gate.counts(), health.load(), isHealthy(), nowMillis());
     }
 
     void cutAll() {
-        gate.cutAll(nowMillis());
+        gate.abortAll(nowMillis());
     }
 
     void close() {
@@ -137,7 +137,7 @@
         return settings;
     }
 
-    GateCounts counts() {
+    GateStatistics counts() {
         return gate.counts();
     }
 
@@ -182,13 +182,13 @@
         if (settings.kind() == ServiceKind.PLAIN) {
             updatePlainHealth(event);
         }
-        gate.on(event, nowMillis());
+        gate.onEndpointEvent(event, nowMillis());
     }
 
     private void updatePlainHealth(EndpointEvent event) {
         if (event instanceof EndpointEvent.Head) {
             health.onPlainCall(true, nowMillis());
-        } else if (event instanceof EndpointEvent.Failed) {
+        } else if (event instanceof EndpointEvent.ResponseFailed) {
             health.onPlainCall(false, nowMillis());
         }
     }
--- a/server/src/test/java/org/quetzalshunt/server/gateway/HomeDataCentresTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/gateway/HomeDataCentresTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.quetzalshunt.core.route.AccountTerms;
+import org.quetzalshunt.core.route.AccountConfiguration;
 import org.quetzalshunt.core.route.RequestKind;
 import org.quetzalshunt.core.route.Route;
 import org.quetzalshunt.core.route.RouteTarget;
-import org.quetzalshunt.core.route.ServiceEntry;
+import org.quetzalshunt.core.route.ServiceConfiguration;
 
 /** Data centres of three regions in which a request may run, by the regions that its route and its account allow. */
 final class HomeDataCentresTest {
@@ -51,8 +51,9 @@
                 OptionalLong.empty(),
                 List.of(),
                 OptionalLong.empty());
-        ServiceEntry service = new ServiceEntry("llm", 100, 0, Optional.empty());
-        Optional<AccountTerms> account = Optional.of(new AccountTerms("arusha", 0, 0, 0, accountRegions));
+        ServiceConfiguration service = new ServiceConfiguration("llm", 100, 0, Optional.empty());
+        Optional<AccountConfiguration> account =
+                Optional.of(new AccountConfiguration("arusha", 0, 0, 0, accountRegions));
         RequestTimeline timeline = new RequestTimeline(new NodeClock(() -> {}), 0);
         return new AdmittedRequest(null, request, route, service, account, 1, 0, 3_000, timeline, false);
     }
