--- a/server/src/main/java/org/quetzalshunt/server/entry/ChatCompletionAssembler.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ChatCompletionAssembler.java
@@ -35,7 +35,10 @@
         this.createdSeconds = nowMillis / 1_000;
     }
 
-    /** Adds a chunk and returns the event to forward; empty for a usage chunk and for a final chunk without content. */
+    /**
+     * Adds a chunk and returns the event to forward; empty for a usage chunk, a final chunk without content, and a
+     * chunk that is not a JSON object.
+     */
     Optional<byte[]> add(byte[] chunk) {
         Optional<JsonNode> parsed = Json.parse(chunk).filter(JsonNode::isObject);
         if (parsed.isEmpty()) {
--- a/server/src/main/java/org/quetzalshunt/server/entry/EntryClock.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/EntryClock.java
@@ -1,8 +1,8 @@
 package org.quetzalshunt.server.entry;
 
 /**
- * Clock of milliseconds since the epoch that never runs backwards. The wall clock is read once and the elapsed time is
- * taken from the monotonic clock, so that a step of the wall clock cannot shorten a lease or skip a deadline.
+ * Monotonic clock in milliseconds since the epoch. The wall clock is read once and the elapsed time is measured by
+ * {@link System#nanoTime}, so that an adjustment of the wall clock cannot shorten a lease or skip a deadline.
  */
 final class EntryClock {
     private static final long NANOS_PER_MILLI = 1_000_000;
--- a/server/src/main/java/org/quetzalshunt/server/entry/JoinPeriod.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/JoinPeriod.java
@@ -1,7 +1,7 @@
 package org.quetzalshunt.server.entry;
 
 /**
- * Period after start in which an entry learns of the others. Until it is over, the entry claims no shards and does not
+ * Period after start in which an entry discovers the others. Until it is over, the entry claims no shards and does not
  * pass membership changes to the rate limits. Without it, each of several entries that start together would consider
  * itself the only one: shards would change owner several times in the first second, and limit generations (the records
  * that name the entries which share the rates) would omit live entries. Accounts would then have to wait for their part
--- a/server/src/main/java/org/quetzalshunt/server/entry/OwnerRouter.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/OwnerRouter.java
@@ -206,7 +206,10 @@
         }
     }
 
-    /** Retries the requests that wait for an owner, and refuses those that have waited too long. */
+    /**
+     * Expires forwarded requests, retries the requests that wait for an owner, and refuses those that have waited too
+     * long.
+     */
     void tick() {
         expireForwarded();
         if (waiting.isEmpty()) {
--- a/server/src/main/java/org/quetzalshunt/server/entry/OwnerService.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/OwnerService.java
@@ -41,7 +41,10 @@
         this.pendingResponses = new PendingResponses(owner.clock());
     }
 
-    /** Handles a request routed to this entry as the owner of the shard. Refuses it if the owner has changed. */
+    /**
+     * Handles a request routed to this entry as the owner of the shard. If this entry no longer owns the shard, the
+     * request is routed to the current owner.
+     */
     void handle(int shardNumber, OwnerRequest request, ResponseSink sink) {
         Shard shard = shards.apply(shardNumber);
         pendingResponses.add(request, sink);
--- a/server/src/main/java/org/quetzalshunt/server/entry/ShardManager.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/ShardManager.java
@@ -104,7 +104,10 @@
         return shards.size();
     }
 
-    /** Name of the entry that accepts a shard's requests now; empty while the shard changes owner. */
+    /**
+     * Name of the entry that accepts a shard's requests now; empty if no live entry owns the shard or its handover has
+     * begun.
+     */
     Optional<String> ownerOf(int number) {
         ManagedShard managed = shards.get(number);
         if (managed.shard.isOwned()) {
--- a/server/src/main/java/org/quetzalshunt/server/entry/WorkDispatcher.java
+++ b/server/src/main/java/org/quetzalshunt/server/entry/WorkDispatcher.java
@@ -11,7 +11,7 @@
 import org.quetzalshunt.core.decision.WorkItem;
 import org.quetzalshunt.core.result.Refusal;
 
-/** Holds the queued and running work of this entry, and dispatches it as the scheduler decides. */
+/** Keeps the queued and running work of this entry, and dispatches it as the scheduler decides. */
 final class WorkDispatcher {
     private final EntryClock clock;
     private final Scheduler scheduler;
--- a/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/AdmissionPipeline.java
@@ -19,8 +19,8 @@
 
 /**
  * Decides whether a fully received request may run. The checks run in this order: age of the configuration, route, API
- * key, quarantine, availability of the store, token budget, rate quota. A configuration that may be out of date never
- * causes a rejection for an unknown route or key.
+ * key, size of the body, quarantine, availability of the store, token budget, rate quota. Where API keys are required,
+ * a configuration that may be out of date never causes a rejection for an unknown route or key.
  */
 final class AdmissionPipeline {
     /** Caller timeout assumed when the request states none. */
@@ -137,7 +137,7 @@
 
     private void resume(ReceivedRequest received) {
         if (received.exchange().finished()) {
-            refuse(received, Refusal.notRun(ResultCode.CANCELLED, "the caller left"));
+            refuse(received, Refusal.notRun(ResultCode.CANCELLED, "the caller disconnected"));
             return;
         }
         authenticate(received);
@@ -245,7 +245,8 @@
     private void run(AdmittedRequest admitted) {
         admitted.timeline().markReached(RequestTimeline.Step.TOKEN);
         if (admitted.exchange().finished()) {
-            ResultReporter.logResult(gateway, admitted, ResultCode.CANCELLED, "the caller left", Optional.empty());
+            ResultReporter.logResult(
+                    gateway, admitted, ResultCode.CANCELLED, "the caller disconnected", Optional.empty());
             return;
         }
         if (admitted.route().kind() == RequestKind.STREAM) {
--- a/server/src/main/java/org/quetzalshunt/server/gateway/BudgetManager.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/BudgetManager.java
@@ -153,7 +153,7 @@
         stateOf(program).allotment.allottedAtLeast(allottedTokens);
     }
 
-    /** Whether this VM knows the allotments that other VMs have of the program's budget. */
+    /** Whether this VM has read, or received from a peer, the allotments of other VMs from the program's budget. */
     boolean isKnown(String program) {
         ProgramState state = programs.get(program);
         return state != null && state.allotment.known();
--- a/server/src/main/java/org/quetzalshunt/server/gateway/BufferedForwarder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/BufferedForwarder.java
@@ -105,7 +105,7 @@
 
     /**
      * Whether the endpoint itself failed, so that a retry elsewhere is useful. Without this retry, the caller would
-     * use up one of its own attempts and the time until its next one. A gateway timeout is left out: the endpoint was
+     * use up one of its own attempts and the time until its next one. A gateway timeout is excluded: the endpoint was
      * still working at its deadline, and no time is left for another.
      */
     private boolean endpointFailed() {
@@ -145,7 +145,8 @@
     private void onCallerDisconnected() {
         call.cancel(AttemptOutcome.NEUTRAL);
         if (markFinished()) {
-            ResultReporter.logResult(gateway, admitted, ResultCode.CANCELLED, "the caller left", Optional.of(call));
+            ResultReporter.logResult(
+                    gateway, admitted, ResultCode.CANCELLED, "the caller disconnected", Optional.of(call));
         }
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/ChainExchange.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/ChainExchange.java
@@ -27,10 +27,10 @@
  * gateway that has it. If no peer answers in time, both are read from the store; a peer's answer is never taken as
  * proof that a turn does not exist.
  *
- * <p>Load pattern: programs of many short turns, half of which arrive at another gateway than the previous turn.
+ * <p>Expected load: programs of many short turns; half of the turns arrive at another gateway than the turn before.
  */
 final class ChainExchange {
-    /** Ten round trips between data centres; a peer that takes longer is overloaded or gone. */
+    /** Ten round trips between data centres; a peer that takes longer is overloaded or unreachable. */
     private static final long ANSWER_TIMEOUT_MILLIS = 25;
 
     /** Larger chains would delay the load reports and token requests that share the link. */
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Copies the turn that a request continues into this VM's cache, if a peer has it.
+     * Copies the turn that a request continues, and all turns before it, into this VM's cache, if a peer has them.
      *
      * @param onDone runs when the turn is cached or cannot be fetched; possibly during this call
      */
@@ -167,8 +167,8 @@
     }
 
     /**
-     * Handles the answer of a peer. Transferred tokens are added even if the answer came too late for the turn that
-     * asked.
+     * Handles the answer of a peer. Transferred tokens are added even if the answer arrived after the timeout of the
+     * request.
      */
     void onAnswer(ChainAnswer answer) {
         if (answer.getProgram() == null || answer.getTurns() == null) {
@@ -186,7 +186,7 @@
         complete(answer.getId());
     }
 
-    /** Tells all peers that the budget of a program is exhausted, since each of them may receive its next turn. */
+    /** Notifies all peers that a program's budget is exhausted, since each of them may receive its next turn. */
     void broadcastExhausted(String program, long allottedTokens) {
         if (settings.policy().isEnabled(Mechanism.SHARED_EXHAUSTION)) {
             Message message = Message.budgetExhausted(new BudgetExhausted(program, allottedTokens));
--- a/server/src/main/java/org/quetzalshunt/server/gateway/CrashReporter.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/CrashReporter.java
@@ -17,8 +17,8 @@
 
 /**
  * Detects endpoint crashes and reports the requests that were running there to the other VMs through the store. A
- * broken connection alone is no crash, since responses also get lost: the endpoint must refuse a new connection as
- * well.
+ * broken connection alone does not indicate a crash, since responses also get lost: a new connection to the endpoint
+ * must fail as well.
  */
 final class CrashReporter {
     static final String KEY_PREFIX = "crash/";
--- a/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/EndpointCall.java
@@ -41,7 +41,7 @@
         /** The request may have run, and no complete response will follow. */
         void onBroken(String reason);
 
-        /** No endpoint ran the request. */
+        /** No endpoint ran the request since the last {@link EndpointCall#start}. */
         void onRefused(Refusal refusal);
     }
 
@@ -106,15 +106,15 @@
         this.listener = listener;
     }
 
-    /** Sends the request. May be called again after an earlier attempt broke off or was cancelled. */
+    /** Sends the request. May be called again, as a retry, after the attempt before has ended or was cancelled. */
     void start() {
         done = false;
         send();
     }
 
     /**
-     * Cancels the current attempt and excludes its endpoint from later ones. The listener receives nothing more of
-     * this attempt.
+     * Cancels the current attempt. The listener receives no further events of it. Its endpoint is not selected again
+     * as long as another one is available.
      */
     void cancel(AttemptOutcome outcome) {
         if (done) {
--- a/server/src/main/java/org/quetzalshunt/server/gateway/EventStreamDecoder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/EventStreamDecoder.java
@@ -7,9 +7,9 @@
 import org.quetzalshunt.core.attempt.EventStreamParser;
 
 /**
- * Splits an event stream (WHATWG HTML, section 9.2.6) into complete events whose bytes stay unchanged, so that a
- * caller never sees part of an event when the stream breaks off. Event ids must increase; a repeated or lower id marks
- * the stream as broken.
+ * Splits an event stream (WHATWG HTML, section 9.2.6) with lines that end in LF or CR LF into complete events whose
+ * bytes stay unchanged, so that a caller never receives part of an event when the stream breaks off. Event ids must
+ * increase; a repeated or lower id marks the stream as broken.
  */
 final class EventStreamDecoder {
     /** A complete event: its bytes as received, and its decoded data. */
--- a/server/src/main/java/org/quetzalshunt/server/gateway/FleetFollower.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/FleetFollower.java
@@ -30,7 +30,7 @@
 final class FleetFollower {
     /** Receives the records of the fleet. */
     interface Listener {
-        /** All heartbeats were read, or a lapsed lease is in force again. */
+        /** All heartbeats were read, or, once the lease has lapsed, a heartbeat that renews it was stored. */
         void onFleetRead();
 
         /** The shared secret of the links was read. */
--- a/server/src/main/java/org/quetzalshunt/server/gateway/Gateway.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/Gateway.java
@@ -49,7 +49,7 @@
     /**
      * Retry-After for a request that failed because of the store, in milliseconds. If no VM of this data centre
      * reaches the store, the delay for a full outage applies even if other data centres reach it: until the balancer
-     * has noticed and selects another data centre, retries arrive at the same VMs.
+     * detects the outage and selects another data centre, retries arrive at the same VMs.
      */
     long outageRetryAfterMillis(long remainingMillis) {
         if (isolatedFromStore() && links.anyLocalPeerReachesStore()) {
--- a/server/src/main/java/org/quetzalshunt/server/gateway/PeerConnections.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/PeerConnections.java
@@ -43,7 +43,7 @@
 final class PeerConnections implements LinkListener {
     /**
      * Timeout of a token request: ten round trips between data centres. An owner that takes longer is overloaded or
-     * gone.
+     * unreachable.
      */
     private static final long TOKEN_TIMEOUT_MILLIS = 25;
 
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Sets the members of the fleet. Of two VMs, the one that started later connects, since it is the first to know of
-     * the other.
+     * Sets the members of the fleet. Of two VMs, the one that started later opens the link, since it can read the
+     * heartbeat of the other as soon as it starts.
      */
     void setPeers(Map<String, VmHeartbeat> members) {
         if (connector == null) {
--- a/server/src/main/java/org/quetzalshunt/server/gateway/QuotaManager.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/QuotaManager.java
@@ -121,13 +121,13 @@
         return leases.isSettled();
     }
 
-    /** Whether some VM that may hold a share of the account can be asked. */
+    /** Whether some VM that may hold a share of the account's quota is reachable. */
     boolean reachesLeaseHolder(String account) {
         return leases.candidates(account).stream()
                 .anyMatch(holder -> holder.equals(self) ? leases.parts(account) > 0 : links.isConnected(holder));
     }
 
-    /** Whether, for every account with a quota, some VM that may hold a share can be asked. */
+    /** Whether, for every account with a quota, some VM that may hold a share of it is reachable. */
     boolean reachesAllLeaseHolders() {
         return configuration
                 .get()
--- a/server/src/main/java/org/quetzalshunt/server/gateway/StreamForwarder.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/StreamForwarder.java
@@ -20,8 +20,8 @@
  *
  * <p>A turn is sent to an endpoint after its history is read and its tokens are granted. If the budget has enough
  * headroom, the turn is sent before the grant: the grant is requested while the endpoint processes the prompt, and
- * events are buffered until it is there. After that, events are forwarded as they arrive. The end of the response is
- * sent only after the turn is stored, so that a caller that received the end can continue from this turn at any VM.
+ * events are buffered until the tokens are granted. Later events are forwarded as they arrive. The end of the response
+ * is sent only after the turn is stored, so that a caller that received the end can continue from this turn at any VM.
  */
 final class StreamForwarder implements EndpointCall.Listener {
     private final Gateway gateway;
@@ -319,7 +319,7 @@
         }
         if (markFinished()) {
             ResultReporter.logResult(
-                    gateway, admitted, ResultCode.CANCELLED, "the caller left", Optional.ofNullable(call));
+                    gateway, admitted, ResultCode.CANCELLED, "the caller disconnected", Optional.ofNullable(call));
         }
     }
 
--- a/server/src/main/java/org/quetzalshunt/server/gateway/TurnGrant.java
+++ b/server/src/main/java/org/quetzalshunt/server/gateway/TurnGrant.java
@@ -27,9 +27,10 @@
     }
 
     /**
-     * Whether the turn may be sent to an endpoint before its tokens are granted. This is so if it begins a program
-     * that is new to this VM and whose whole budget covers the turn, or if the budget, as last read, has room for
-     * several more turns. The grant can then be refused only to a program that runs turns at several VMs at once.
+     * Whether the turn may be sent to an endpoint before its tokens are granted. This is the case if it consumes no
+     * budget, if it begins a program that is new to this VM and whose whole budget covers the turn, or if the budget,
+     * as last read, has room for several more turns. The grant can then be refused only to a program that runs turns
+     * at several VMs at once.
      */
     boolean hasHeadroom() {
         if (program.isEmpty()) {
--- a/server/src/main/java/org/quetzalshunt/server/http/BufferedResponseListener.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/BufferedResponseListener.java
@@ -5,7 +5,7 @@
 
 /** Buffers a response of limited size and passes it to the receiver once. */
 public final class BufferedResponseListener implements HttpResponseListener {
-    /** Receives the result of a call, exactly once. */
+    /** Receives the result of a call, exactly once unless the call is cancelled. */
     public interface Receiver {
         /** Called with the complete response. */
         void onAnswer(int status, byte[] body);
--- a/server/src/main/java/org/quetzalshunt/server/http/HttpCall.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/HttpCall.java
@@ -16,21 +16,21 @@
     }
 
     private final HttpResponseListener listener;
-    private final Predicate<HttpHeaders> isOwn;
+    private final Predicate<HttpHeaders> matchesRequest;
     private final Release release;
     private Channel channel;
     private ScheduledFuture<?> timeout;
     private boolean sent;
     private boolean done;
 
-    private HttpCall(HttpResponseListener listener, Predicate<HttpHeaders> isOwn, Release release) {
+    private HttpCall(HttpResponseListener listener, Predicate<HttpHeaders> matchesRequest, Release release) {
         this.listener = listener;
-        this.isOwn = isOwn;
+        this.matchesRequest = matchesRequest;
         this.release = release;
     }
 
-    static HttpCall create(HttpResponseListener listener, Predicate<HttpHeaders> isOwn, Release release) {
-        return new HttpCall(listener, isOwn, release);
+    static HttpCall create(HttpResponseListener listener, Predicate<HttpHeaders> matchesRequest, Release release) {
+        return new HttpCall(listener, matchesRequest, release);
     }
 
     /** Cancels the request: closes the connection and makes no further call to the listener. */
@@ -62,7 +62,7 @@
     }
 
     boolean isOwnResponse(HttpHeaders headers) {
-        return isOwn.test(headers);
+        return matchesRequest.test(headers);
     }
 
     void head(int status, HttpHeaders headers) {
--- a/server/src/main/java/org/quetzalshunt/server/http/HttpClient.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/HttpClient.java
@@ -29,7 +29,8 @@
 import jdk.net.ExtendedSocketOptions;
 
 /**
- * HTTP/1.1 client with a pool of connections per address. All calls are made on its event loop.
+ * HTTP/1.1 client with a pool of connections per address. Not thread-safe: all methods must be called on its event
+ * loop.
  *
  * <p>A server can close a pooled connection just as a request is sent on it. The client does not repeat such a request
  * but reports that it may have arrived; the caller decides whether to repeat it.
@@ -38,12 +39,16 @@
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
     private static final int MAXIMUM_IDLE_PER_ADDRESS = 64;
 
-    /** Lets a call reuse a pooled connection regardless of its idle time. */
+    /**
+     * Value of {@link CallTimeouts#maximumIdleMillis} without a limit: only a keep-alive time that the server states
+     * restricts the reuse of a connection.
+     */
     private static final long NO_IDLE_LIMIT = Long.MAX_VALUE;
 
     /**
-     * TCP keep-alive, in seconds and probes. Detects within three seconds a connection whose peer lost power or whose
-     * path no longer delivers packets, which would otherwise go unnoticed; the platform asks for short probes.
+     * TCP keep-alive settings. An idle connection whose peer has lost power or is unreachable is detected after three
+     * seconds: one second idle and two probes. Without keep-alive, it would not be detected. The platform asks its
+     * users for short keep-alive intervals.
      */
     private static final int KEEP_ALIVE_IDLE_SECONDS = 1;
 
@@ -58,12 +63,19 @@
         this.group = group;
     }
 
-    /** Makes a client on a group of one event loop. */
+    /**
+     * Creates a client.
+     *
+     * @param group group with exactly one event loop
+     */
     public static HttpClient create(EventLoopGroup group) {
         return new HttpClient(group);
     }
 
-    /** Sends a request; the listener receives the response. */
+    /**
+     * Sends a request with the default connect timeout and no limit on the idle time of the connection. Any response
+     * on the connection is accepted as the response to the request.
+     */
     public HttpCall send(
             InetSocketAddress address,
             String method,
@@ -82,11 +94,14 @@
     /**
      * Sends a request; the listener receives the response.
      *
-     * @param isOwn whether a response, by its headers, belongs to this request; other responses are skipped, because a
-     *     faulty server may answer an earlier request on the connection a second time
+     * @param matchesRequest whether a response, by its headers, belongs to this request. Other responses are ignored:
+     *     a faulty server may send a second response to an earlier request on the connection.
      */
     public HttpCall send(
-            OutboundRequest outbound, CallTimeouts times, Predicate<HttpHeaders> isOwn, HttpResponseListener listener) {
+            OutboundRequest outbound,
+            CallTimeouts times,
+            Predicate<HttpHeaders> matchesRequest,
+            HttpResponseListener listener) {
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.valueOf(outbound.method()),
@@ -97,7 +112,7 @@
         request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, outbound.body().length);
         InetSocketAddress address = outbound.address();
         HttpCall call = HttpCall.create(
-                listener, isOwn, (channel, keepAliveMillis) -> release(address, channel, keepAliveMillis));
+                listener, matchesRequest, (channel, keepAliveMillis) -> release(address, channel, keepAliveMillis));
         Channel pooled = takeIdle(address, times.maximumIdleMillis());
         if (pooled != null) {
             call.start(pooled, request, times.responseMillis());
@@ -122,7 +137,10 @@
         });
     }
 
-    /** Closes every idle connection. */
+    /**
+     * Closes the connections that are idle now. Connections in use are returned to the pool as usual when their calls
+     * end.
+     */
     public void close() {
         idle.values()
                 .forEach(connections ->
@@ -130,7 +148,7 @@
         idle.clear();
     }
 
-    /** Connections opened since the start. */
+    /** Number of attempts to open a connection since the start, including failed ones and probes. */
     public long connectionsOpened() {
         return connectionsOpened;
     }
@@ -163,14 +181,14 @@
         });
     }
 
-    private Channel takeIdle(InetSocketAddress address, long reuseMillis) {
+    private Channel takeIdle(InetSocketAddress address, long maximumIdleMillis) {
         Deque<IdleConnection> connections = idle.get(address);
         if (connections == null) {
             return null;
         }
         long now = nowMillis();
         for (IdleConnection each = connections.pollLast(); each != null; each = connections.pollLast()) {
-            if (each.isUsable(now, reuseMillis)) {
+            if (each.isUsable(now, maximumIdleMillis)) {
                 return each.channel();
             }
             each.channel().close();
--- a/server/src/main/java/org/quetzalshunt/server/http/HttpResponseListener.java
+++ b/server/src/main/java/org/quetzalshunt/server/http/HttpResponseListener.java
@@ -2,7 +2,10 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Receives one response on the event loop: the head, any chunks, then exactly one of end and failure. */
+/**
+ * Receives one response on the event loop: the head, any chunks, and the end. A failure can occur at any point before
+ * the end, also before the head, and is then the last event. After {@link HttpCall#cancel}, no method is called.
+ */
 public interface HttpResponseListener {
     /** Called with the status and headers. */
     void onHead(int status, HttpHeaders headers);
@@ -14,9 +17,9 @@
     void onEnd();
 
     /**
-     * Called when the response will not complete.
+     * Called when the request failed or the response is incomplete.
      *
-     * @param requestMayHaveArrived false only when no byte of the request can have left this process
+     * @param requestMayHaveArrived false if the request was certainly not sent
      */
     void onFailure(String reason, boolean requestMayHaveArrived);
 }
--- a/server/src/main/java/org/quetzalshunt/server/log/LogClient.java
+++ b/server/src/main/java/org/quetzalshunt/server/log/LogClient.java
@@ -23,8 +23,8 @@
     private static final int MAXIMUM_READ_BYTES = 4 * 1024 * 1024;
 
     /**
-     * Records are base64 text, four bytes for three, and the service may exceed the requested size by one record of 1
-     * MiB.
+     * Larger than the largest read: the records are encoded in base64, four bytes for three, and the service may exceed
+     * the requested size by one record of 1 MiB.
      */
     private static final int MAXIMUM_RESPONSE_BYTES = 16 * 1024 * 1024;
 
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/AttemptResponseListener.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/AttemptResponseListener.java
@@ -75,7 +75,7 @@
     }
 
     private void onStreamEvent(byte[] data) {
-        if (ChatChunks.isEndMark(data)) {
+        if (ChatChunks.isEndMarker(data)) {
             events.accept(new EndpointEvent.EndMarker(attempt, run));
             return;
         }
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/BufferedResponse.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/BufferedResponse.java
@@ -16,7 +16,7 @@
  * @param body body, incomplete if larger than the limit
  */
 record BufferedResponse(int status, Optional<Integer> retryAfterSeconds, byte[] body) {
-    /** Holds a list of ten thousand cache entries. */
+    /** Large enough for a list of ten thousand cache entries. */
     private static final int MAXIMUM_BYTES = 2 * 1024 * 1024;
 
     private static final int FIRST_SUCCESS = 200;
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/ChatChunks.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/ChatChunks.java
@@ -10,15 +10,15 @@
 
 /** Extracts the usage figures and the finish reason from the chunks of a chat completion. */
 final class ChatChunks {
-    private static final byte[] END_MARK = "[DONE]".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] END_MARKER = "[DONE]".getBytes(StandardCharsets.UTF_8);
 
     private ChatChunks() {}
 
-    static boolean isEndMark(byte[] data) {
-        return Arrays.equals(data, END_MARK);
+    static boolean isEndMarker(byte[] data) {
+        return Arrays.equals(data, END_MARKER);
     }
 
-    /** Usage and finish reason in a chunk; empty when it contains neither. */
+    /** Usage and finish reason in a chunk; empty if the chunk contains neither or is not valid JSON. */
     static Optional<EndpointEvent.ResponseMetadata> parse(long attempt, int run, byte[] data) {
         Optional<JsonNode> chunk = Json.parse(data);
         if (chunk.isEmpty()) {
--- a/server/src/main/java/org/quetzalshunt/server/sidecar/LinkTable.java
+++ b/server/src/main/java/org/quetzalshunt/server/sidecar/LinkTable.java
@@ -25,9 +25,9 @@
     }
 
     /**
-     * Records the incarnation of a newly opened link; false when the VM has already had a link of a higher one. Guards
-     * against orders from an entry process that was replaced but still runs, for example after a pause, or whose
-     * connection is half-open.
+     * Records the incarnation of a newly opened link. Returns false if a higher incarnation of the VM has connected
+     * before. Guards against orders from an entry process that was replaced but still runs, for example after a pause,
+     * or whose connection is half-open.
      */
     boolean recordIncarnation(PeerLink link) {
         VmId id = link.remote().id();
--- a/server/src/main/java/org/quetzalshunt/server/transport/LinkListener.java
+++ b/server/src/main/java/org/quetzalshunt/server/transport/LinkListener.java
@@ -2,16 +2,19 @@
 
 import org.quetzalshunt.wire.generated.Message;
 
-/** Receives the events of links, on the event loop. */
+/** Receives the events of {@link PeerLink}s. All methods are called on the event loop. */
 public interface LinkListener {
-    /** Called when both sides have proved the shared secret. */
+    /**
+     * Called when the peer has proved that it knows the shared secret. The peer may still reject the proof of this
+     * process; {@link #onClose} then follows.
+     */
     void onOpen(PeerLink link);
 
     /** Called for each message, in the order in which the peer sent them. */
     void onMessage(PeerLink link, Message message);
 
     /**
-     * Called once for each {@link #onOpen} when the link has closed; the last messages sent may or may not have
+     * Called once after each {@link #onOpen}, when the link is closed. Messages sent shortly before may not have
      * arrived.
      */
     void onClose(PeerLink link);
--- a/server/src/test/java/org/quetzalshunt/server/http/IdleConnectionTest.java
+++ b/server/src/test/java/org/quetzalshunt/server/http/IdleConnectionTest.java
@@ -25,9 +25,9 @@
         "0, 10000, 0, false"
     })
     void connectionIsNotReusedBeyondItsIdleLimit(
-            long restedMillis, long keepAliveMillis, long reuseMillis, boolean usable) {
+            long idleMillis, long keepAliveMillis, long maximumIdleMillis, boolean usable) {
         IdleConnection connection = new IdleConnection(new EmbeddedChannel(), 1_000, keepAliveMillis);
-        assertThat(connection.isUsable(1_000 + restedMillis, reuseMillis)).isEqualTo(usable);
+        assertThat(connection.isUsable(1_000 + idleMillis, maximumIdleMillis)).isEqualTo(usable);
     }
 
     @ParameterizedTest
