--- a/app/src/main/java/org/quetzalshunt/app/bench/capacity/ConfigurationCosts.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/capacity/ConfigurationCosts.java
@@ -11,7 +11,7 @@
 import org.quetzalshunt.core.document.ServiceLimits;
 import org.quetzalshunt.wire.record.ConfigurationRecordCodec;
 
-/** Measures the cost of folding configuration records by the number of accounts of each of seven services. */
+/** Measures the cost of applying configuration records, by the number of accounts of each of seven services. */
 final class ConfigurationCosts {
     private static final int SERVICES = 7;
     private static final int CHANGES = 50;
@@ -19,12 +19,12 @@
 
     private ConfigurationCosts() {}
 
-    /** Heap of a folded configuration, by number of accounts of each service. */
+    /** Heap of a configuration, by number of accounts of each service. */
     static ScalingSeries heapByAccounts(List<Integer> sizes) {
         List<ScalingSeries.Point> points = new ArrayList<>();
         for (int size : sizes) {
             long before = HeapUsage.usedBytes();
-            Configuration configuration = fold(size, 1);
+            Configuration configuration = applyChanges(size, 1);
             points.add(new ScalingSeries.Point(size, HeapUsage.usedBytes() - before));
             if (configuration.documents().size() != SERVICES) {
                 throw new IllegalStateException("documents were not folded");
@@ -33,13 +33,13 @@
         return new ScalingSeries("heap of a configuration of " + SERVICES + " services", "accounts", "octets", points);
     }
 
-    /** Time to fold one document change, including the rebuilt key index, by number of accounts of each service. */
+    /** Time to apply one document change, including the rebuilt key index, by number of accounts of each service. */
     static ScalingSeries timeByAccounts(List<Integer> sizes) {
         List<ScalingSeries.Point> points = new ArrayList<>();
-        sizes.forEach(size -> fold(size, CHANGES / SERVICES));
+        sizes.forEach(size -> applyChanges(size, CHANGES / SERVICES));
         for (int size : sizes) {
             long startNanos = System.nanoTime();
-            fold(size, CHANGES / SERVICES);
+            applyChanges(size, CHANGES / SERVICES);
             points.add(new ScalingSeries.Point(size, (System.nanoTime() - startNanos) / NANOS_PER_MICRO / CHANGES));
         }
         return new ScalingSeries("fold of one change", "accounts", "microseconds", points);
@@ -54,7 +54,7 @@
         return new ScalingSeries("record of one change", "accounts", "octets", points);
     }
 
-    private static Configuration fold(int accounts, int rounds) {
+    private static Configuration applyChanges(int accounts, int rounds) {
         Configuration configuration = Configuration.create(ConfigurationRecordCodec::decode);
         long offset = 0;
         for (int round = 0; round < rounds; round++) {
--- a/app/src/main/java/org/quetzalshunt/app/bench/capacity/MessageCosts.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/capacity/MessageCosts.java
@@ -14,7 +14,7 @@
 
     private MessageCosts() {}
 
-    /** Octets on a link of the chunk that carries one token, by octets of its data. */
+    /** Octets sent on a link for a chunk with one token, by octets of its data. */
     static ScalingSeries octetsByChunk(List<Integer> sizes) {
         List<ScalingSeries.Point> points = new ArrayList<>();
         for (int size : sizes) {
@@ -25,7 +25,7 @@
         return new ScalingSeries("frame of one chunk", "dataOctets", "octets", points);
     }
 
-    /** Octets per second of load reports, by links of one sidecar or, equally, sidecars linked to one entry. */
+    /** Octets per second of load reports, by links of one sidecar to entries or of one entry to sidecars. */
     static ScalingSeries octetsOfReports(List<Integer> links) {
         EndpointReport report = new EndpointReport(
                 "engine-1234",
--- a/app/src/main/java/org/quetzalshunt/app/bench/capacity/ProgramCosts.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/capacity/ProgramCosts.java
@@ -84,7 +84,7 @@
         return new ScalingSeries("octets appended for one turn", "turnOctets", "octets", points);
     }
 
-    /** Time that the owner takes for turns, without network, by number of turns. */
+    /** Time that the owner needs for turns, excluding the network, by number of turns. */
     static ScalingSeries timeByTurns(List<Integer> counts, int turnBytes) {
         List<ScalingSeries.Point> points = new ArrayList<>();
         new ProgramCosts().createPrograms(200, 20, turnBytes);
--- a/app/src/main/java/org/quetzalshunt/app/bench/capacity/ScalingSeries.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/capacity/ScalingSeries.java
@@ -8,7 +8,7 @@
 /**
  * Values of one quantity measured at several sizes.
  *
- * @param name what was measured
+ * @param name name of the measured quantity
  * @param sizeName name of the quantity that the sizes count
  * @param unit unit of the values
  * @param points measured values by size
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/EscrowLimiter.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/EscrowLimiter.java
@@ -31,7 +31,7 @@
     private final SplittableRandom random;
     private final List<FleetLimits> entries = new ArrayList<>();
     private final List<LimitGenerationRecord> log = new ArrayList<>();
-    private final boolean[] dead;
+    private final boolean[] isCrashed;
     private final int[] readOffsets;
     private long messages;
     private long bytes;
@@ -40,7 +40,7 @@
     EscrowLimiter(VirtualTime time, Parameters parameters) {
         this.time = time;
         this.random = new SplittableRandom(parameters.seed());
-        this.dead = new boolean[parameters.entries()];
+        this.isCrashed = new boolean[parameters.entries()];
         this.readOffsets = new int[parameters.entries()];
         for (int entry = 0; entry < parameters.entries(); entry++) {
             entries.add(start(entry, parameters));
@@ -80,7 +80,7 @@
         List<Member> members = new ArrayList<>();
         for (int entry = 0; entry < entries.size(); entry++) {
             Vm vm = new Vm("entry-" + entry, VmRole.ENTRY, "10.0.0.1", 1, "moshi-a", "", false);
-            members.add(new Member(id(entry), vm, !dead[entry], false, 0, 0, 0, List.of()));
+            members.add(new Member(id(entry), vm, !isCrashed[entry], false, 0, 0, 0, List.of()));
         }
         return members;
     }
@@ -94,7 +94,7 @@
     }
 
     private void runTimed(int entry, Runnable action) {
-        if (dead[entry]) {
+        if (isCrashed[entry]) {
             return;
         }
         long started = System.nanoTime();
@@ -134,7 +134,7 @@
         for (int entry = 0; entry < entries.size(); entry++) {
             crashed = heldParts(entry) > heldParts(crashed) ? entry : crashed;
         }
-        dead[crashed] = true;
+        isCrashed[crashed] = true;
         time.runAfter(CRASH_DETECTED_AFTER_MILLIS, () -> {
             List<Member> members = members();
             entries.forEach(limits -> limits.membersChanged(time.now(), members));
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/GossipLimiter.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/GossipLimiter.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * Admits at each entry by a local estimate of the fleet-wide bucket. Each entry sends its admissions to all others ten
- * times a second.
+ * Each entry admits requests against its own estimate of the fleet-wide token bucket and sends the number of admitted
+ * requests to all other entries every 100 ms.
  */
 final class GossipLimiter implements Limiter {
     private static final long GOSSIP_INTERVAL_MILLIS = 100;
@@ -17,7 +17,7 @@
     private final SplittableRandom random;
     private final TokenBucket[][] estimates;
     private final int[][] unsentAdmissions;
-    private final boolean[] dead;
+    private final boolean[] isCrashed;
     private long messages;
     private long bytes;
 
@@ -27,7 +27,7 @@
         this.random = new SplittableRandom(parameters.seed());
         this.estimates = new TokenBucket[parameters.entries()][parameters.accounts()];
         this.unsentAdmissions = new int[parameters.entries()][parameters.accounts()];
-        this.dead = new boolean[parameters.entries()];
+        this.isCrashed = new boolean[parameters.entries()];
         for (int entry = 0; entry < parameters.entries(); entry++) {
             int sender = entry;
             for (int account = 0; account < parameters.accounts(); account++) {
@@ -42,7 +42,7 @@
         for (int account = 0; account < parameters.accounts(); account++) {
             int admitted = unsentAdmissions[sender][account];
             unsentAdmissions[sender][account] = 0;
-            if (admitted > 0 && !dead[sender]) {
+            if (admitted > 0 && !isCrashed[sender]) {
                 sendToOthers(sender, account, admitted);
             }
         }
@@ -72,7 +72,7 @@
 
     @Override
     public int crash() {
-        dead[0] = true;
+        isCrashed[0] = true;
         return 0;
     }
 
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/GrantorLimiter.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/GrantorLimiter.java
@@ -4,11 +4,11 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps the buckets of all accounts at one entry, the grantor, which the other entries ask for each request. A crashed
- * grantor is replaced when its lease has expired.
+ * Keeps the token buckets of all accounts at one entry, the grantor. The other entries send it a message for each
+ * request. A crashed grantor is replaced after its lease has expired, by an entry that starts with empty buckets.
  */
 final class GrantorLimiter implements Limiter {
-    /** Lease and detection times equal those of the escrow limiter, so that a crash costs both the same. */
+    /** About the time for which the escrow limiter cannot use a crashed entry's share, so that both are comparable. */
     private static final long REPLACED_AFTER_MILLIS = 4_000;
 
     private static final int BYTES_PER_MESSAGE = 40;
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/Limiter.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/Limiter.java
@@ -4,7 +4,7 @@
 
 /** Strategy that enforces account limits over several entries. */
 interface Limiter {
-    /** Handles a request of an account at an entry and reports whether it is admitted, at once or up to 200 ms later. */
+    /** Handles a request of an account at an entry. Reports whether it is admitted, at once or up to 200 ms later. */
     void request(int entry, int account, Consumer<Boolean> admitted);
 
     /** Crashes the entry whose failure affects the limiter most, and returns its index. */
--- a/app/src/main/java/org/quetzalshunt/app/bench/limits/TokenBucket.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/limits/TokenBucket.java
@@ -22,7 +22,7 @@
         return true;
     }
 
-    /** Takes tokens regardless of the level, and returns the new level, which may be negative. */
+    /** Subtracts tokens regardless of the level, and returns the new level, which may be negative. */
     double takeUnconditionally(long nowMillis, double tokens) {
         refill(nowMillis);
         level -= tokens;
--- a/app/src/main/java/org/quetzalshunt/app/bench/scenario/EngineParameters.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/EngineParameters.java
@@ -12,7 +12,10 @@
 public record EngineParameters(
         int slots, double unitsPerSecond, double answerTokensPerSecond, double unitsPerPromptToken, long cacheTokens) {
 
-    /** A mid-range engine: 48 slots, 24 answers at full speed, and prompt tokens at a tenth of an output token's cost. */
+    /**
+     * A mid-range engine with 48 slots. It generates up to 24 answers at once at full speed, and a prompt token costs a
+     * tenth of an output token.
+     */
     static EngineParameters midRange() {
         return new EngineParameters(48, 1_200, 50, 0.1, 400_000);
     }
--- a/app/src/main/java/org/quetzalshunt/app/bench/scenario/Measures.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/Measures.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * Results of one run of a scenario under one policy, as seen by callers.
+ * Results of one run of a scenario under one policy.
  *
  * @param p50Millis median program latency without tool pauses; an abandoned program counts with at least the time after
  *     which callers abandon
@@ -12,8 +12,8 @@
  * @param completedP95Millis 95th percentile over completed programs only
  * @param programs programs that completed or were abandoned
  * @param abandoned programs that their callers abandoned
- * @param recomputedTokens prompt tokens computed again although a cache could have held them, plus prompt tokens of
- *     lost attempts
+ * @param recomputedTokens history tokens computed again because the engine had not cached them, plus the prompt tokens
+ *     computed for attempts that were lost while they generated output
  * @param worstShare lowest fraction of its max-min fair entitlement that any account received
  * @param worstP95Millis highest per-account 95th percentile of program latency among accounts within their rate
  * @param withinRateP95Millis 95th percentile of program latency over the programs of all accounts within their rate
--- a/app/src/main/java/org/quetzalshunt/app/bench/scenario/Recorder.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/Recorder.java
@@ -135,8 +135,7 @@
      * Returns the lowest fraction of its entitlement that any account received. Entitlements follow weighted max-min
      * fairness: each account is entitled to its demand, capped at a level times its weight, where the level is raised
      * until the whole capacity is allocated. An account below its cap must have all its demand answered in time. An
-     * account above its cap must have the capped amount of work answered while the other
-     * accounts still send requests.
+     * account above its cap must have the capped amount of work answered while the other accounts still send requests.
      */
     private double worstShare() {
         double level = fairLevel(scenario.unitsPerSecond() * (scenario.arrivalMillis() - warmUpMillis()) / 1_000);
--- a/app/src/main/java/org/quetzalshunt/app/bench/scenario/ScenarioRun.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/ScenarioRun.java
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Runs a scenario until all programs have ended. */
+    /** Runs a scenario until all programs have ended or the maximum duration is reached. */
     public static Measures run(Scenario scenario, Policy policy, long seed) {
         return new ScenarioRun(scenario, policy, seed).run(Workload.generate(scenario, seed));
     }
--- a/app/src/main/java/org/quetzalshunt/app/bench/scenario/Scenarios.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/Scenarios.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * The predefined scenarios. They are modelled on two deployments, each with six engines and eight client accounts, unless
- * a scenario says otherwise.
+ * The predefined scenarios, modelled on two deployments. Unless stated otherwise, a scenario has six engines and eight
+ * client accounts.
  */
 public final class Scenarios {
     private static final int ENGINES = 6;
@@ -125,7 +125,7 @@
                 .withEngines(ENGINES, EngineParameters.midRange().withCache(60_000), ENTRIES, REPORTS);
     }
 
-    /** Sixteen entries share forty engines whose load reports come every two seconds and are a second old on arrival. */
+    /** Sixteen entries share forty engines. Load reports are sent every two seconds and are a second old on arrival. */
     public static Scenario laggingReports() {
         return base(0.8)
                 .withName("lagging-reports", "sixteen entries share forty engines with reports up to three seconds old")
--- a/app/src/main/java/org/quetzalshunt/app/bench/scenario/SimulatedEngine.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/SimulatedEngine.java
@@ -12,10 +12,10 @@
  * cache.
  */
 final class SimulatedEngine {
-    /** Fraction of a step's compute that prefill may use while decoding needs the rest, as under chunked prefill. */
+    /** Maximum fraction of a step's compute for prefill when decoding could use the whole step. */
     private static final double MAX_PREFILL_FRACTION = 0.5;
 
-    private final EngineParameters capacity;
+    private final EngineParameters parameters;
     private final List<EngineRequest> running = new ArrayList<>();
     private final List<EngineRequest> waiting = new ArrayList<>();
     private final LinkedHashMap<String, Long> cache = new LinkedHashMap<>(16, 0.75f, true);
@@ -24,8 +24,8 @@
     private boolean down;
     private double unitsDone;
 
-    SimulatedEngine(EngineParameters capacity) {
-        this.capacity = capacity;
+    SimulatedEngine(EngineParameters parameters) {
+        this.parameters = parameters;
     }
 
     int running() {
@@ -37,13 +37,14 @@
     }
 
     int slots() {
-        return capacity.slots();
+        return parameters.slots();
     }
 
     boolean isDown() {
         return down;
     }
 
+    /** Units of work done since the start, as defined in {@link EngineParameters}. */
     double unitsDone() {
         return unitsDone;
     }
@@ -52,7 +53,7 @@
         speedFraction = fraction;
     }
 
-    /** Crashes the engine, which clears its queue and cache, and returns the requests that were lost. */
+    /** Stops the engine, clears its cache and returns all running and waiting requests, which are lost. */
     List<EngineRequest> crash() {
         List<EngineRequest> lost = new ArrayList<>(running);
         lost.addAll(waiting);
@@ -77,13 +78,13 @@
         waiting.add(index, request);
     }
 
-    /** Removes a waiting or running request and discards the tokens that it generated. */
+    /** Removes a waiting or running request. Its partial output is not cached. */
     void cancel(long id) {
         waiting.removeIf(request -> request.id == id);
         running.removeIf(request -> request.id == id);
     }
 
-    /** Evicts the cached history of a program that ended. */
+    /** Evicts the cached history with the key, if there is one. */
     void evict(String cacheKey) {
         Long tokens = cache.remove(cacheKey);
         cachedTokens -= tokens == null ? 0 : tokens;
@@ -94,7 +95,7 @@
         if (down) {
             return List.of();
         }
-        while (!waiting.isEmpty() && running.size() < capacity.slots()) {
+        while (!waiting.isEmpty() && running.size() < parameters.slots()) {
             admit(waiting.remove(0));
         }
         if (running.isEmpty()) {
@@ -106,19 +107,19 @@
 
     private void admit(EngineRequest request) {
         request.cachedTokens = Math.min(cache.getOrDefault(request.cacheKey, 0L), request.promptTokens);
-        request.promptUnitsLeft = (request.promptTokens - request.cachedTokens) * capacity.unitsPerPromptToken();
+        request.promptUnitsLeft = (request.promptTokens - request.cachedTokens) * parameters.unitsPerPromptToken();
         running.add(request);
     }
 
     private void compute(long nowMillis, long stepMillis) {
-        double budget = capacity.unitsPerSecond() * speedFraction * stepMillis / 1_000;
+        double budget = parameters.unitsPerSecond() * speedFraction * stepMillis / 1_000;
         int decodingRequests = 0;
         double prefillDemand = 0;
         for (EngineRequest request : running) {
             decodingRequests += request.isDecoding() ? 1 : 0;
             prefillDemand += Math.max(0, request.promptUnitsLeft);
         }
-        double maxTokensPerAnswer = capacity.answerTokensPerSecond() * speedFraction * stepMillis / 1_000;
+        double maxTokensPerAnswer = parameters.answerTokensPerSecond() * speedFraction * stepMillis / 1_000;
         double decodeDemand = decodingRequests * maxTokensPerAnswer;
         double prefillBudget = Math.min(prefillDemand, Math.max(budget - decodeDemand, MAX_PREFILL_FRACTION * budget));
         double tokensPerAnswer =
@@ -162,7 +163,7 @@
         Long previousTokens = cache.put(request.cacheKey, request.promptTokens + request.outputTokens);
         cachedTokens += request.promptTokens + request.outputTokens - (previousTokens == null ? 0 : previousTokens);
         Iterator<Map.Entry<String, Long>> oldest = cache.entrySet().iterator();
-        while (cachedTokens > capacity.cacheTokens() && oldest.hasNext()) {
+        while (cachedTokens > parameters.cacheTokens() && oldest.hasNext()) {
             cachedTokens -= oldest.next().getValue();
             oldest.remove();
         }
--- a/app/src/main/java/org/quetzalshunt/app/bench/scenario/SimulatedFleet.java
+++ b/app/src/main/java/org/quetzalshunt/app/bench/scenario/SimulatedFleet.java
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Sends an engine's current load, as carried by an answer, without report delay. */
+    /** Reports an engine's current load without delay, since each answer contains it. */
     void sendCurrentReport(long nowMillis, int engine, Scheduler entry) {
         SimulatedEngine simulated = engines.get(engine);
         sendReport(nowMillis, engine, simulated.running(), simulated.waiting(), 0, entry);
--- a/app/src/main/java/org/quetzalshunt/app/demo/DemoProgram.java
+++ b/app/src/main/java/org/quetzalshunt/app/demo/DemoProgram.java
@@ -35,7 +35,7 @@
         this.random = new SplittableRandom(number);
     }
 
-    /** Whether this program has a small budget, so that the expected end is that the budget is exhausted. */
+    /** Whether this program has a small budget, which it is expected to exhaust. */
     private boolean runsOutOfBudget() {
         return number % SMALL_BUDGET_EVERY == SMALL_BUDGET_EVERY - 1;
     }
--- a/app/src/main/java/org/quetzalshunt/app/demo/DemoRun.java
+++ b/app/src/main/java/org/quetzalshunt/app/demo/DemoRun.java
@@ -107,8 +107,8 @@
     }
 
     /**
-     * Counts the cache entries that running engines still hold for programs. All programs have ended by now, so the
-     * engines must release the entries within {@link #CACHE_RELEASE_BOUND_MILLIS}.
+     * Counts the held cache entries of the running engines. Called after the programs have ended, so that the engines
+     * must release all entries within {@link #CACHE_RELEASE_BOUND_MILLIS}.
      */
     private void countHeldCacheEntries() {
         long deadline = System.currentTimeMillis() + CACHE_RELEASE_BOUND_MILLIS;
--- a/app/src/main/java/org/quetzalshunt/app/explain/FailureCause.java
+++ b/app/src/main/java/org/quetzalshunt/app/explain/FailureCause.java
@@ -26,7 +26,7 @@
             Map.entry(ResultCode.CONFIGURATION_STALE, "its gateway could not prove that keys are still valid"),
             Map.entry(ResultCode.NOT_READY, "its gateway had no configuration yet, or no owner of the quota answered"));
 
-    /** Share of the time to the first event that a step must take to be named as the cause of a late answer. */
+    /** Minimum share of the time to the first event for a step to be named as the cause of a late answer. */
     private static final double DOMINANT_STEP_SHARE = 0.4;
 
     private FailureCause() {}
@@ -57,7 +57,7 @@
         return isLate(line) ? "Served late, most of the time for " + slowestStep(line) + "." : "Served in time.";
     }
 
-    /** The step before the first event that took longest, or "several steps" if none dominates. */
+    /** The longest step before the first event, or "several steps" if none dominates. */
     static String slowestStep(LogLine line) {
         long token = line.number("tokenAfterMillis").orElse(0);
         long sent = line.number("sentAfterMillis").orElse(token);
--- a/app/src/main/java/org/quetzalshunt/app/explain/LogFiles.java
+++ b/app/src/main/java/org/quetzalshunt/app/explain/LogFiles.java
@@ -46,7 +46,7 @@
     /**
      * Reads all files in the given order.
      *
-     * @param lineFilter selects by its raw text whether a line is decoded; lines that fail it are skipped
+     * @param lineFilter predicate on the raw text of a line; lines that do not match are skipped without decoding
      * @throws IOException if a file cannot be read to its end
      */
     void read(Predicate<String> lineFilter, Consumer<LogLine> listener) throws IOException {
--- a/app/src/main/java/org/quetzalshunt/app/explain/Outcome.java
+++ b/app/src/main/java/org/quetzalshunt/app/explain/Outcome.java
@@ -8,9 +8,9 @@
     SERVED,
     /** Served after its route's latency target. */
     LATE,
-    /** Not run, and refused with a code that says so. */
+    /** Refused with a result code, and not executed. */
     REFUSED,
-    /** Ended without a complete answer, although it may have run. */
+    /** Ended without a complete answer; it may have been executed. */
     FAILED;
 
     private static final int FIRST_EXECUTION_CODE = 4_000;
--- a/app/src/main/java/org/quetzalshunt/app/explain/RequestReport.java
+++ b/app/src/main/java/org/quetzalshunt/app/explain/RequestReport.java
@@ -28,7 +28,7 @@
     }
 
     /**
-     * Reads the report on the id of a request or program; empty if no request in the logs has it.
+     * Builds the report for the id of a request or program; empty if no request in the logs has it.
      *
      * @throws IOException if a log cannot be read
      */
--- a/app/src/main/java/org/quetzalshunt/app/load/CallFailure.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/CallFailure.java
@@ -8,14 +8,14 @@
 /**
  * Failure of a call.
  *
- * @param code result code number; {@link #NO_CODE} if the connection broke or the body has none
+ * @param code result code number; {@link #NO_CODE} if the connection broke or the error body contains no code
  * @param retryAfterMillis delay before a retry; empty if the call must not be retried
  */
 record CallFailure(int code, OptionalLong retryAfterMillis) {
     static final int NO_CODE = -1;
     private static final long RETRY_AFTER_BROKEN_CONNECTION_MILLIS = 200;
 
-    /** A call whose connection broke may be retried, because its idempotency key keeps it from running twice. */
+    /** A call whose connection broke can be retried, because its idempotency key prevents a second execution. */
     static CallFailure connectionBroken() {
         return new CallFailure(NO_CODE, OptionalLong.of(RETRY_AFTER_BROKEN_CONNECTION_MILLIS));
     }
--- a/app/src/main/java/org/quetzalshunt/app/load/ChatAnswer.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/ChatAnswer.java
@@ -15,7 +15,7 @@
         return finishReason.equals(LENGTH);
     }
 
-    /** Whether this equals the stand-in engine's answer to the messages, or its beginning if this one is shortened. */
+    /** Whether the text equals the stand-in engine's answer to the messages or, if shortened, the start of it. */
     boolean matchesStandin(JsonNode messages) {
         int limit = isShortened() ? text.split(" ").length : Integer.MAX_VALUE;
         return text.equals(StandinAnswer.to(messages, limit).text());
--- a/app/src/main/java/org/quetzalshunt/app/load/LoadCommand.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/LoadCommand.java
@@ -22,8 +22,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code quetzalshunt load}: runs programs of a workload shape against entries on loopback. No option is marked as
- * required, because the subcommand {@code load compare} takes none of them.
+ * {@code quetzalshunt load}: generates open-loop load from the programs of a {@link LoadShape} and sends it to entries
+ * on loopback. No option is marked as required, because the subcommand {@code load compare} has none of them.
  */
 @Command(
         name = "load",
@@ -55,7 +55,7 @@
     @Option(
             names = "--seconds",
             defaultValue = "20",
-            description = "time over which programs arrive (default: ${DEFAULT-VALUE})")
+            description = "time in seconds over which programs arrive (default: ${DEFAULT-VALUE})")
     private int seconds;
 
     @Option(
@@ -79,13 +79,13 @@
     @Option(
             names = "--heavy-factor",
             defaultValue = "5",
-            description = "factor by which it sends more than another account (default: ${DEFAULT-VALUE})")
+            description = "factor by which the heavy account sends more than another one (default: ${DEFAULT-VALUE})")
     private double heavyFactor;
 
     @Option(
             names = "--drain-seconds",
             defaultValue = "30",
-            description = "time for programs to finish after arrivals end (default: ${DEFAULT-VALUE})")
+            description = "time in seconds for programs to finish after arrivals end (default: ${DEFAULT-VALUE})")
     private int drainSeconds;
 
     @Option(names = "--seed", defaultValue = "1", description = "random seed of arrivals and programs")
@@ -119,7 +119,7 @@
         return 0;
     }
 
-    /** {@code quetzalshunt load compare A B}: compares two files that {@code --json} wrote. */
+    /** {@code quetzalshunt load compare A B}: compares two result files written by {@code --json}. */
     @Command(name = "compare", mixinStandardHelpOptions = true, description = "Compares two result files.")
     int compare(
             @Parameters(index = "0", paramLabel = "A", description = "first result file") Path first,
--- a/app/src/main/java/org/quetzalshunt/app/load/SseReader.java
+++ b/app/src/main/java/org/quetzalshunt/app/load/SseReader.java
@@ -4,9 +4,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** Extracts the data of server-sent events from a body received in parts (WHATWG HTML, section 9.2). */
+/**
+ * Extracts the data of server-sent events (WHATWG HTML, section 9.2) from a body that is received in chunks. Supports
+ * only the format that the entries send: lines end in LF, and each event has a single {@code data} line.
+ */
 final class SseReader {
-    private static final String DATA = "data: ";
+    private static final String DATA_PREFIX = "data: ";
 
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private final Consumer<String> onData;
@@ -19,16 +22,16 @@
         return new SseReader(onData);
     }
 
-    void read(byte[] part) {
-        for (byte octet : part) {
+    void read(byte[] chunk) {
+        for (byte octet : chunk) {
             if (octet != '\n') {
                 line.write(octet);
                 continue;
             }
             String text = line.toString(StandardCharsets.UTF_8);
             line.reset();
-            if (text.startsWith(DATA)) {
-                onData.accept(text.substring(DATA.length()).strip());
+            if (text.startsWith(DATA_PREFIX)) {
+                onData.accept(text.substring(DATA_PREFIX.length()).strip());
             }
         }
     }
--- a/app/src/test/java/org/quetzalshunt/app/bench/scenario/RuleMutationsTest.java
+++ b/app/src/test/java/org/quetzalshunt/app/bench/scenario/RuleMutationsTest.java
@@ -15,8 +15,8 @@
 import org.quetzalshunt.core.decision.queue.WorkCharge;
 
 /**
- * Removes one scheduling rule at a time. The measure must become clearly worse, since otherwise the scenario would not
- * detect a fault in that rule.
+ * Verifies that each scenario detects the removal of the scheduling rule that it covers: without the rule, the measure
+ * of the scenario must increase by a given factor.
  */
 final class RuleMutationsTest {
     private static final List<Long> SEEDS = List.of(1L, 2L);
@@ -26,14 +26,14 @@
     static Stream<Arguments> mutations() {
         ToDoubleFunction<Measures> withinRateP95 = Measures::withinRateP95Millis;
         return Stream.of(
-                // No charge per account: accounts within their rate wait behind the flooding account.
+                // Work is not charged to accounts: accounts within their rate wait behind the flooding account.
                 Arguments.of(
                         "no fair shares",
                         Scenarios.flood(),
                         STANDARD.withCharge(WorkCharge.nothing()),
                         withinRateP95,
                         1.3),
-                // No room is reserved for programs in progress: their prompts are computed again on other engines.
+                // No capacity is reserved for programs in progress: their prompts are computed again on other engines.
                 Arguments.of(
                         "equal room",
                         Scenarios.saturation(),
@@ -68,10 +68,10 @@
     @MethodSource("mutations")
     void measureDegradesWithoutTheRule(
             String rule, Scenario scenario, Policy mutated, ToDoubleFunction<Measures> measure, double factor) {
-        ScenarioResults table = ScenarioResults.measure(scenario, List.of(STANDARD, mutated.named(rule)), SEEDS);
+        ScenarioResults results = ScenarioResults.measure(scenario, List.of(STANDARD, mutated.named(rule)), SEEDS);
 
         assertWithMessage(rule)
-                .that(table.mean(rule, measure))
-                .isGreaterThan(factor * table.mean(STANDARD.name(), measure));
+                .that(results.mean(rule, measure))
+                .isGreaterThan(factor * results.mean(STANDARD.name(), measure));
     }
 }
--- a/app/src/test/java/org/quetzalshunt/app/bench/scenario/ScenariosTest.java
+++ b/app/src/test/java/org/quetzalshunt/app/bench/scenario/ScenariosTest.java
@@ -14,7 +14,7 @@
     private static final List<Long> SEEDS = List.of(1L, 2L);
     private static final String STANDARD = Policy.standard().name();
 
-    /** Condition that a scenario's results must meet; the failure that it guards against stands at the list below. */
+    /** Condition that a scenario's results must meet. {@link #plays} describes the failure that it guards against. */
     @FunctionalInterface
     private interface Expectation {
         void check(ScenarioResults table);
@@ -31,13 +31,13 @@
                         Scenarios.fewAccounts(),
                         expectations(fasterThan("round-robin", 0.8), noRefusalsWithinRate(), shareAtLeast(0.95))),
                 // One account sends ten times its rate. The programs of other accounts must not wait behind its queue;
-                // without fair shares, they took as long as the flooding account's own programs.
+                // without fair shares, they take as long as the flooding account's own programs.
                 Arguments.of(
                         Scenarios.flood(),
                         expectations(
                                 noRefusalsWithinRate(), shareAtLeast(0.93), withinRateFasterThan("affinity-only"))),
-                // An overheated GPU slows one engine to a fifth of its speed. A program that stays there for its cache
-                // takes minutes, so it must move, and new programs must avoid the engine.
+                // An overheated GPU slows one engine to a fifth of its speed. A program that stays on it because of its
+                // cached prompt takes minutes, so it must move to another engine. New programs must avoid the engine.
                 Arguments.of(
                         Scenarios.slowEndpoint(),
                         expectations(fasterThan("affinity-only", 0.5), noRefusalsWithinRate())),
@@ -48,7 +48,7 @@
                         Scenarios.lostEndpoint(),
                         expectations(fasterThan("affinity-only", 0.9), noRefusalsWithinRate())),
                 // Planning programs of many long turns are mixed with quick questions. The questions must not wait for
-                // the planning programs, although the scheduler cannot tell them apart in advance.
+                // the planning programs, although the scheduler cannot distinguish them in advance.
                 Arguments.of(
                         Scenarios.longAmongShort(),
                         expectations(fasterThan("round-robin", 0.6), noRefusalsWithinRate())),
