--- a/standin/src/main/java/org/quetzalshunt/standin/control/FaultKind.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/control/FaultKind.java
@@ -6,7 +6,7 @@
 public enum FaultKind {
     /** The log service answers every call with status 503. */
     OUTAGE("outage", true),
-    /** Responses are delayed; in the engine, each word of a response is. */
+    /** Responses are delayed. The engine delays each word of a response. */
     SLOW("slow", false),
     /** An append is stored, and the connection is closed without a response. */
     LOST_ANSWER("lostAnswer", false),
@@ -14,7 +14,7 @@
     REFUSE("refuse", false),
     /** Changes do not become visible in the VM list. */
     LIST_FROZEN("listFrozen", true),
-    /** Runs and caches are lost, and every connection is closed while the fault is active. */
+    /** Runs, running orders and the cache are lost. While the fault is active, every connection is closed. */
     CRASH("crash", true),
     /** The process halts: at once or, for a fault with a count, when the next chat completion arrives. */
     EXIT("exit", false),
--- a/standin/src/main/java/org/quetzalshunt/standin/control/StandinServer.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/control/StandinServer.java
@@ -42,12 +42,12 @@
         return server.port();
     }
 
-    /** Stops listening and closes every connection. No request is served after the return. */
+    /** Stops listening and closes every connection. No request is served after this method returns. */
     public void close() {
         onLoop(server::close);
     }
 
-    /** Activates a fault. It applies to every request that is handled after the return. */
+    /** Activates a fault. It applies to every request handled after this method returns. */
     public void set(Fault fault) {
         onLoop(() -> faults.set(fault));
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/EngineStandin.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/EngineStandin.java
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Binds the address and starts to serve. A fault that halts the process only closes the server. Must not be called
-     * on an event loop of the group.
+     * Binds the address and starts to serve. A fault that would halt the process closes the server instead. Must not be
+     * called on an event loop of the group.
      */
     public static EngineStandin start(EventLoopGroup group, InetSocketAddress address, EngineSettings settings) {
         EventLoop loop = group.next();
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Like {@link #start(EventLoopGroup, InetSocketAddress, EngineSettings)}, with the action of the faults that halt
-     * the process.
+     * Like {@link #start(EventLoopGroup, InetSocketAddress, EngineSettings)}, with {@code halt} as the action of the
+     * faults that halt the process.
      */
     public static EngineStandin start(
             EventLoopGroup group, InetSocketAddress address, EngineSettings settings, Runnable halt) {
@@ -90,12 +90,12 @@
         return server.port();
     }
 
-    /** Stops the server and discards its runs and cache. */
+    /** Stops the server. Its runs and cache are not persisted. */
     public void close() {
         server.close();
     }
 
-    /** Activates a fault. It applies to every request that is handled after the return. */
+    /** Activates a fault. It applies to every request handled after this method returns. */
     public void set(Fault fault) {
         server.set(fault);
     }
@@ -169,7 +169,7 @@
         }
     }
 
-    /** A crash discards the state at once. An exit without a count follows as soon as the fault request is answered. */
+    /** Discards the state on a crash. For an exit without a count, halts after a delay for the response to be sent. */
     private void onFaultActivated(Fault fault) {
         if (fault.kind() == FaultKind.CRASH) {
             discardState();
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/LoadReports.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/LoadReports.java
@@ -23,12 +23,12 @@
         this.addFigures = addFigures;
     }
 
-    /** Creates reports from a function that adds the present load figures to an object. */
+    /** Creates reports from a function that adds the current load figures to an object. */
     static LoadReports create(long lagMillis, LongSupplier clockMillis, Function<ObjectNode, ObjectNode> addFigures) {
         return new LoadReports(lagMillis, clockMillis, addFigures);
     }
 
-    /** Records the present load figures; {@code words} is the number of words emitted since the start. */
+    /** Records the current load figures; {@code words} is the number of words emitted since the start. */
     void addSnapshot(long words) {
         long now = clockMillis.getAsLong();
         Snapshot last = snapshots.peekLast();
--- a/standin/src/main/java/org/quetzalshunt/standin/engine/PrefixCache.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/engine/PrefixCache.java
@@ -47,7 +47,10 @@
         return bestTokens;
     }
 
-    /** Stores or replaces an entry; false if the capacity that is left beside the held entries does not suffice. */
+    /**
+     * Stores or replaces an entry. Returns false if the capacity that held entries do not occupy is too small; an entry
+     * that was to be replaced is then evicted.
+     */
     boolean store(String key, Prefix prefix, boolean held) {
         Entry former = entries.remove(key);
         if (former != null) {
--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreStandin.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreStandin.java
@@ -51,7 +51,7 @@
         return server.port();
     }
 
-    /** Sets the fault, which applies to every call that is handled after the return; {@code NONE} ends it. */
+    /** Sets the fault, which applies to every call handled after this method returns; {@code NONE} ends it. */
     public void setFault(StoreFault newFault) {
         onLoop(() -> fault = newFault);
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/platform/LogStream.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/platform/LogStream.java
@@ -10,7 +10,7 @@
 
 /**
  * Stream of the log service: records at contiguous offsets, of which the oldest are dropped by age, and the readers
- * that wait for the nextOffset append.
+ * that wait for the next append.
  */
 final class LogStream {
     private final Long2ObjectHashMap<Entry> entries = new Long2ObjectHashMap<>();
--- a/standin/src/main/java/org/quetzalshunt/standin/platform/PlatformStandin.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/platform/PlatformStandin.java
@@ -69,12 +69,12 @@
         return server.port();
     }
 
-    /** Stops the server and discards all data. */
+    /** Stops the server. The data is not persisted. */
     public void close() {
         server.close();
     }
 
-    /** Activates a fault. It applies to every request that is handled after the return. */
+    /** Activates a fault. It applies to every request handled after this method returns. */
     public void set(Fault fault) {
         server.set(fault);
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/service/ServiceStandin.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/service/ServiceStandin.java
@@ -53,12 +53,12 @@
         return server.port();
     }
 
-    /** Stops the server and discards the log of runs. */
+    /** Stops the server. The log of runs is not persisted. */
     public void close() {
         server.close();
     }
 
-    /** Activates a fault. It applies to every request that is handled after the return. */
+    /** Activates a fault. It applies to every request handled after this method returns. */
     public void set(Fault fault) {
         server.set(fault);
     }
