--- a/core/src/main/java/org/quetzalshunt/core/decision/PrefixLocationTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/PrefixLocationTable.java
@@ -14,8 +14,8 @@
 
     /**
      * Part of a prefix that counts as cached after the endpoint has probably evicted it. This matters when the caches
-     * are too small for the load. With no part, a program runs anywhere and loses the chance that its prefix is still
-     * cached; with the whole prefix, it waits for an endpoint that has evicted it.
+     * are too small for the load. If nothing counted as cached, a program would run anywhere and lose the chance that
+     * its prefix is still cached. If the whole prefix counted, it would wait for an endpoint that has evicted it.
      */
     static final double EVICTED_PREFIX_PART = 0.25;
 
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/EarliestFinishChoice.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/EarliestFinishChoice.java
@@ -13,7 +13,7 @@
 public final class EarliestFinishChoice implements EndpointChoice {
     /**
      * Number of endpoints sampled. Two already prevent herding. With few open endpoints, the best of eight is an idle
-     * one with a probability of 1 - 0.7^8 = 94% where a third are idle. The cost grows in proportion.
+     * one with a probability of 1 - 0.7^8 = 94% where 30% are idle. The cost grows in proportion.
      */
     static final int SAMPLE_SIZE = 8;
 
@@ -33,17 +33,16 @@
     /**
      * Maximum wait for the endpoint that has the prefix, as a multiple of the time to compute the prefix again. A
      * multiple of one is the ski-rental bound (Karlin et al. 1988), which is at most twice the optimum in hindsight.
-     * The multiple is ten because computing the prefix again also delays the other requests there: goodput at twice the
-     * capacity was 0.75 with two and 0.98 with ten (three seeds, with aged new programs limited to less capacity than
-     * programs in progress).
+     * The multiple is ten because computing the prefix again also delays the other requests there: with a multiple of
+     * two, goodput at twice the capacity falls from 0.98 to 0.75.
      */
     static final double MAXIMUM_WAIT_FACTOR = 10;
 
     /**
      * Relative slowdown of an answer on a full endpoint against an idle one, which accounts for load before it shows in
      * the measured speed. It is more than the real slowdown, so that load outweighs the noise of the measured speeds.
-     * In the simulation with small caches, the program p95 was 22.5 s with 0.5 and 18.6 s with 2, against 21.4 s with
-     * random choice.
+     * With 0.5, the p95 of the duration of programs rises from 18.6 s to 22.5 s when caches are small, which is worse
+     * than with random choice (21.4 s).
      */
     static final double LOAD_SLOWDOWN = 2;
 
--- a/core/src/main/java/org/quetzalshunt/core/decision/endpoint/SpeedRecord.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/endpoint/SpeedRecord.java
@@ -11,7 +11,8 @@
     static final int WINDOW = 8;
 
     /**
-     * Minimum length of an answer to measure the decoding speed; for shorter ones the clock resolution of a millisecond is a tenth of the measured time.
+     * Minimum length of an answer to measure the decoding speed. For shorter answers, the clock resolution of a
+     * millisecond is a tenth of the measured time.
      */
     private static final long MINIMUM_ANSWER_TOKENS = 8;
 
--- a/core/src/main/java/org/quetzalshunt/core/decision/queue/FairQueue.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/queue/FairQueue.java
@@ -31,9 +31,9 @@
 
     /**
      * Part of its fair share of the running requests up to which an account may use the capacity reserved for
-     * underserved accounts. At 1.0, accounts that are all at their share claim it in turn, and goodput at twice the
-     * capacity falls to 0.94. At 0.5, a quiet account with a few concurrent programs loses its claim, and its p95 under
-     * a flood from another account is 1.6 times its own instead of 1.36 (measured in trials with two and three seeds).
+     * underserved accounts. At 1.0, accounts that are all at their share use it in turn, and goodput at twice the
+     * capacity falls to 0.94. At 0.5, a quiet account with a few concurrent programs loses the privilege, and a flood
+     * from another account raises its p95 by a factor of 1.6 instead of 1.36.
      */
     static final double UNDERSERVED_PART = 0.8;
 
--- a/core/src/main/java/org/quetzalshunt/core/decision/queue/ProgramTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/queue/ProgramTable.java
@@ -10,7 +10,8 @@
     /**
      * Idle time after which a program is removed. Usually a program is removed when its end is reported; the time-out
      * removes programs that moved to another entry or whose end was lost, which would grow the table without bound. It
-     * is longer than the longest tool pause, ten minutes. Removing a program too early only moves it back to the first level.
+     * is longer than the longest tool pause, ten minutes. Removing a program too early only moves it back to the first
+     * level.
      */
     static final long IDLE_MILLIS = 1_800_000;
 
--- a/core/src/main/java/org/quetzalshunt/core/decision/retry/RetryBudget.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/retry/RetryBudget.java
@@ -4,7 +4,8 @@
  * Limits the retries of one service to a share of its requests, as in Finagle's retry budgets.
  *
  * <p>When one or all endpoints fail every request, three attempts for each would triple the load while capacity is
- * lowest, and would prevent the recovery. With the budget the load grows by a tenth at most.
+ * lowest, and would prevent the recovery. With the budget, retries add at most a tenth to the load, apart from one
+ * retry per second and the initial balance.
  */
 public final class RetryBudget {
     /** Budget added per request. A tenth covers the loss of one endpoint in ten with its requests in flight. */
@@ -13,7 +14,7 @@
     /** Budget added per second, without which a service with few requests could never retry at all. */
     static final double EARNED_PER_SECOND = 1;
 
-    /** Maximum budget: the requests in flight on one failing endpoint, which fill some of its slots. */
+    /** Maximum budget, about the number of requests in flight at one endpoint, which all fail if it crashes. */
     static final double MAXIMUM_BALANCE = 32;
 
     private double balance = MAXIMUM_BALANCE;
--- a/core/src/test/java/org/quetzalshunt/core/decision/RulesTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/decision/RulesTest.java
@@ -34,8 +34,8 @@
 
     /**
      * Guards against a quiet account that waits for the whole queue of another one. One account queues twenty long
-     * requests, then another one sends a short one, while one request runs at a time. The second school would wait for
-     * the export of the first.
+     * requests, then another one sends a short one, while one request runs at a time. In arrival order, the short
+     * request would wait for all of the long ones.
      */
     @ParameterizedTest
     @EnumSource(Rule.class)
