--- a/core/src/main/java/org/quetzalshunt/core/routing/EndpointCost.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EndpointCost.java
@@ -60,7 +60,7 @@
         return cost + speed.prefillMillis(uncachedTokens) * (2 + load);
     }
 
-    /** Whether an endpoint has been neither full nor failing enough lately to be avoided. */
+    /** Whether an endpoint is neither full nor ejected, and its failure rate is low. */
     boolean isHealthy(long nowMillis, EndpointRow row) {
         return penaltyMillis(nowMillis, row) < HEALTHY_PENALTY_MILLIS;
     }
--- a/core/src/main/java/org/quetzalshunt/core/routing/EndpointRow.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EndpointRow.java
@@ -41,7 +41,7 @@
     /** Prompt tokens sent to the endpoint by this VM that it has not prefilled yet. */
     long prefillBacklogTokens;
 
-    /** The same for prompts that peers sent. */
+    /** Prompt tokens sent to the endpoint by peers that it has not prefilled yet. */
     long peersPrefillBacklogTokens;
     /** Capacity of the prefix cache in tokens; unknown until the first prompt is sent. */
     long memoryTokens = Long.MAX_VALUE;
@@ -103,8 +103,8 @@
     }
 
     /**
-     * Takes in a peer's failure rate for this endpoint. The highest reported rate counts, and it decays like this VM's
-     * own rate.
+     * Records a failure rate that a peer reported for this endpoint. Only the highest reported rate is stored, and it
+     * decays like this VM's own rate.
      */
     void recordPeerFailureRate(long nowMillis, double rate) {
         double present = decayed(nowMillis, peersFailureRate, peersFailureRateMillis);
--- a/core/src/main/java/org/quetzalshunt/core/routing/EndpointTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EndpointTable.java
@@ -110,8 +110,8 @@
 
     /**
      * Whether some endpoint may have the last part of a prompt in its cache. That part belongs to a single
-     * conversation, so this tells a later turn from a first one. Shortly after this process started, every endpoint
-     * that was running long before may hold the part.
+     * conversation, so the result distinguishes a later turn from a first one. Shortly after this process started,
+     * every endpoint that was running long before may hold the part.
      */
     public boolean mayHavePrefixCached(long nowMillis, String service, List<PrefixPart> prompt) {
         if (prompt.isEmpty()) {
--- a/core/src/main/java/org/quetzalshunt/core/routing/EngineSpeed.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EngineSpeed.java
@@ -30,9 +30,9 @@
     private double tokensPerAnswer = INITIAL_TOKENS_PER_ANSWER;
 
     /**
-     * Takes in the prefill of one prompt. The estimate follows a quantile of the measured speeds by steps of fixed
-     * size. A prompt that was unexpectedly in the cache seems to take no time at all, and in this way counts as just
-     * one measurement.
+     * Updates the estimate with the prefill of one prompt. The estimate follows a quantile of the measured speeds in
+     * steps of fixed relative size, so that an outlier, such as the near-zero time of a prompt that was unexpectedly
+     * cached, counts no more than any other measurement above the estimate.
      */
     void recordPrefill(long tokens, long tookMillis) {
         if (tokens < MINIMUM_PREFILL_TOKENS) {
@@ -43,7 +43,7 @@
         prefillTokensPerMilli *= 1 + PREFILL_STEP * step;
     }
 
-    /** Takes in the number of tokens that were generated after the first event of an answer. */
+    /** Updates the mean answer length with the number of tokens generated after the first event of an answer. */
     void recordGeneration(long tokens) {
         tokensPerAnswer += ANSWER_WEIGHT * (tokens - tokensPerAnswer);
     }
--- a/core/src/main/java/org/quetzalshunt/core/routing/PrefixCache.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/PrefixCache.java
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Whether at least the given number of tokens of a part is cached. */
+    /** Whether a part is cached at its full size. */
     boolean contains(PrefixPart part) {
         return cachedTokens(part) >= part.tokens();
     }
--- a/core/src/main/java/org/quetzalshunt/core/routing/PrefixPart.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/PrefixPart.java
@@ -1,9 +1,9 @@
 package org.quetzalshunt.core.routing;
 
 /**
- * A part of a prompt that an engine can keep in its prefix cache.
+ * A part of a prompt that an engine can cache.
  *
- * @param id identifies the content; a part that grows from turn to turn keeps its id
- * @param tokens its size
+ * @param id identifier of the part; unchanged when the part grows between turns
+ * @param tokens size of the part in tokens
  */
 public record PrefixPart(String id, long tokens) {}
--- a/core/src/main/java/org/quetzalshunt/core/routing/PrefixPlacement.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/PrefixPlacement.java
@@ -24,7 +24,7 @@
     /** An engine that was at least this old when this process started has most likely cached the common parts. */
     private static final long WARM_AGE_MILLIS = 10_000;
 
-    /** How long after its start a process relies on that assumption; later its own records are sufficient. */
+    /** Time from the first selection in which a process relies on this assumption; its own records suffice later. */
     private static final long ASSUMPTION_MILLIS = 20_000;
 
     private final long startedMillis;
--- a/core/src/test/java/org/quetzalshunt/core/routing/EngineSpeedTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/routing/EngineSpeedTest.java
@@ -13,9 +13,9 @@
     private static final long PROMPT_TOKENS = 14_000;
 
     /**
-     * Guards against an estimate that follows the fastest measurement. One prompt in twenty is in the cache of its
-     * engine without the VM knowing it, and its answer begins at once. Prefill would then look nearly free, and turns
-     * would be sent to engines that do not hold their prompts.
+     * Guards against an estimate that follows the fastest measurement. One prompt in twenty is unexpectedly cached, so
+     * its measured prefill time is almost zero. If the estimate followed these outliers, a cache miss would seem to
+     * cost nothing, and turns would be sent to engines that have not cached their prompts.
      */
     @ParameterizedTest
     @CsvSource({"100, 1", "205, 2", "800, 3"})
@@ -23,9 +23,9 @@
         Random random = new Random(seed);
         EngineSpeed speed = new EngineSpeed();
         for (int sample = 0; sample < 600; sample++) {
-            double shared = 1 + 2 * random.nextDouble();
-            long took = (long) (PROMPT_TOKENS / tokensPerMilli * shared);
-            speed.recordPrefill(PROMPT_TOKENS, BASE_MILLIS + (random.nextInt(20) == 0 ? 0 : took));
+            double slowdown = 1 + 2 * random.nextDouble();
+            long prefillMillis = (long) (PROMPT_TOKENS / tokensPerMilli * slowdown);
+            speed.recordPrefill(PROMPT_TOKENS, BASE_MILLIS + (random.nextInt(20) == 0 ? 0 : prefillMillis));
         }
         double expected = PROMPT_TOKENS / tokensPerMilli;
         assertThat(speed.prefillMillis(PROMPT_TOKENS)).isGreaterThan(expected / 2);
