--- a/core/src/test/java/org/quetzalshunt/core/attempt/EventStreamParserTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/EventStreamParserTest.java
@@ -16,8 +16,8 @@
     private final EventStreamParser parser =
             EventStreamParser.create(data -> events.add(new String(data, StandardCharsets.UTF_8)));
 
-    // The network may split the stream anywhere, also within CR LF and within a character. Lines end in any of the
-    // three ways, comments serve as keep-alives, and several data lines form one event.
+    // The network may split the stream anywhere, also within CR LF and within a character. Lines end in LF, CR
+    // or CR LF, comments serve as keep-alives, and several data lines form one event.
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 5, 1_000})
     void eventsAreParsedHoweverTheInputIsSplit(int pieceBytes) {
@@ -42,10 +42,10 @@
         assertThat(events).hasSize(emitted);
     }
 
-    // A faulty engine sends a line without end, or an event of lines without end. Memory must stay bounded.
+    // Lines and events above the size limit must be rejected, so that a faulty engine cannot exhaust the memory.
     @ParameterizedTest
     @ValueSource(strings = {"x", "data: y\n"})
-    void endlessLineOrEventIsRejected(String piece) {
+    void lineOrEventAboveTheLimitIsRejected(String piece) {
         byte[] pieces = piece.repeat(1_024).getBytes(StandardCharsets.UTF_8);
         boolean accepted = true;
         for (int count = 0; accepted && count < 2_000; count++) {
