--- a/core/src/main/java/org/quetzalshunt/core/limit/Demand.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/Demand.java
@@ -6,8 +6,9 @@
  */
 final class Demand {
     /**
-     * Time constant of the decay. At a quarter of a second, an entry without traffic gives up its parts within a
-     * second, and the gaps of a steady tenant at ten requests per second do not look like the end of its traffic.
+     * Time constant of the decay. It is short enough that an entry whose traffic has ended transfers its parts within
+     * about a second, and long enough that the gaps in a steady traffic of ten requests per second do not count as its
+     * end.
      */
     private static final double DECAY_MILLIS = 250;
 
--- a/core/src/main/java/org/quetzalshunt/core/limit/FleetLimits.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/FleetLimits.java
@@ -128,7 +128,10 @@
         table.find(new AccountKey(service, account)).ifPresent(bucket -> bucket.giveBack(takeSequence));
     }
 
-    /** The same if the sequence number of the take is not known. Fewer tokens can then be returned safely. */
+    /**
+     * Returns the token of a refused request whose take sequence number is unknown. More tokens are discarded than with
+     * a known number, so that none can count twice.
+     */
     public void giveBack(String service, String account) {
         giveBack(service, account, Long.MIN_VALUE);
     }
@@ -396,7 +399,7 @@
         return mover.invariantViolations();
     }
 
-    /** What this entry holds, one element per account. */
+    /** Returns the state of each account at this entry. */
     public List<LimitStatus> status(long nowMillis) {
         return table.buckets().stream()
                 .map(bucket -> LimitStatuses.of(nowMillis, bucket, mover.pendingParts(bucket.key)))
--- a/core/src/main/java/org/quetzalshunt/core/limit/GenerationProposer.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/GenerationProposer.java
@@ -18,8 +18,8 @@
     private static final long SETTLING_MILLIS = 100;
 
     /**
-     * The same if the change would need the long wait. VMs that restart together may still make the short wait
-     * sufficient.
+     * Delay before a change that would need the long wait. If excluded VMs restart during the delay, the short wait may
+     * become sufficient.
      */
     private static final long LONG_SETTLING_MILLIS = 2_000;
 
--- a/core/src/main/java/org/quetzalshunt/core/limit/HolderHints.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/HolderHints.java
@@ -11,7 +11,7 @@
  * demand. These are only hints: a wrong one costs a message, never a token.
  */
 final class HolderHints {
-    /** Holders that a home remembers for one account. More could not be asked in time. */
+    /** Maximum number of holders stored for one account. A home could not query more of them in time. */
     private static final int MAXIMUM_HOLDERS = 16;
 
     /** A demand that was not reported again within this time counts as ended. */
--- a/core/src/main/java/org/quetzalshunt/core/limit/Lease.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/Lease.java
@@ -18,9 +18,9 @@
  * pause, it would admit more than rate and burst together with them. The lease is renewed by proofs that this VM is
  * still a member. Every proof is dated by this VM's own clock at the time of the request, so that the age of the answer
  * is never underestimated. A proof is a read of the configuration stream to its end. In an outage of the log, it is the
- * confirmation, by a majority of the generation's members and by a majority of the listed entries, that they know no
- * newer generation. A home that grants reclaimed parts first waits until confirmations can no longer come from a
- * majority, because a majority has read the new generation, and then until every older proof has expired.
+ * confirmation, by a majority of the generation's members and by a majority of the listed entries, that they have
+ * read no newer generation. A home that grants reclaimed parts first waits until confirmations can no longer come from
+ * a majority, because a majority has read the new generation, and then until every older proof has expired.
  */
 final class Lease {
     /** Confirmations are requested when the last read of the log is older than this fraction of the lease. */
--- a/core/src/main/java/org/quetzalshunt/core/limit/LimitMessage.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/LimitMessage.java
@@ -4,8 +4,8 @@
 import org.quetzalshunt.core.vm.VmId;
 
 /**
- * A message between the limits of two entries. Every message names the generation that it belongs to. Except for those
- * about leases, a message of another generation than the receiver's is void.
+ * A message between the limits of two entries. Every message names the generation that it belongs to. Except for a
+ * {@link LeaseRequest}, a message of another generation than the receiver's is void.
  */
 public sealed interface LimitMessage {
 
@@ -46,7 +46,7 @@
      *
      * @param generation generation of sender and receiver
      * @param transfer number of the transfer, counted from 1 for each sender and receiver in each generation
-     * @param settledBelow every lower number was acknowledged, so that the receiver may forget these numbers
+     * @param settledBelow all lower numbers are acknowledged, so the receiver can discard them
      * @param key account
      * @param parts parts in millionths of rate and burst
      * @param microTokens tokens in millionths, at most the capacity of the parts
--- a/core/src/main/java/org/quetzalshunt/core/limit/PartMover.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/PartMover.java
@@ -16,7 +16,10 @@
  * graceful shutdown.
  */
 final class PartMover {
-    /** An account without traffic for this time returns its parts to its home, which other entries ask first. */
+    /**
+     * Time without traffic after which an account's parts are returned to its home, to which other entries send their
+     * requests.
+     */
     private static final long IDLE_MILLIS = 5_000;
 
     /** Interval of the search for idle accounts. */
@@ -53,7 +56,7 @@
         ledger.clear();
     }
 
-    /** Sends the requester what this entry can spare. A home forwards the request for the remainder. */
+    /** Transfers spare tokens to the requester. A home forwards the request for the remainder. */
     void onRequest(long nowMillis, Bucket bucket, Request request) {
         long sentMicroTokens = 0;
         if (lease.isValid(nowMillis)) {
--- a/core/src/main/java/org/quetzalshunt/core/limit/TransferLedger.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/TransferLedger.java
@@ -10,18 +10,19 @@
 /**
  * Tracks transfers that were sent and not yet acknowledged, and those that were received.
  *
- * <p>Guards against duplicated and lost transfers. A duplicate would admit more than rate and burst in some window: the
- * receiver accepts each number of a sender once, and forgets numbers only when the sender reports that they are
- * settled. A loss would cause refusals within the rate: the sender retransmits a transfer until it is acknowledged. The
- * sender never cancels a transfer, since the receiver may have used it and died before it could acknowledge.
+ * <p>Ensures that each transfer is applied exactly once while its generation lasts. A duplicate would allow an account
+ * to exceed its rate and burst, so the receiver accepts each transfer number of a sender only once. It discards the
+ * numbers below {@code settledBelow}, for all of which the sender has received acknowledgements. A lost transfer would
+ * cause refusals below the rate, so the sender retransmits it until it is acknowledged. The sender never cancels a
+ * transfer, since the receiver may have applied it and crashed before sending the acknowledgement.
  */
 final class TransferLedger {
-    /** A peer within the region answers in a few milliseconds, so a retransmission after 100 ms is rare and cheap. */
+    /** Much longer than the few milliseconds of a round trip in the region, so unneeded retransmissions are rare. */
     private static final long RETRANSMIT_MILLIS = 100;
 
     /**
-     * An acknowledgement counts as a sign of life for this time, which is less than the time to detect a lost
-     * connection.
+     * Time after an acknowledgement during which the peer is considered alive. It is shorter than the time to detect a
+     * lost connection.
      */
     private static final long RESPONSIVE_MILLIS = 250;
 
@@ -29,7 +30,7 @@
     private final Map<VmId, Inbox> inboxes = new HashMap<>();
     private int pending;
 
-    /** Numbers a transfer and keeps it until it is acknowledged. */
+    /** Assigns a number to a transfer and retains it for retransmission until it is acknowledged. */
     LimitMessage.Transfer send(long nowMillis, VmId to, long generation, AccountKey key, long parts, long tokens) {
         Outbox outbox = outboxes.computeIfAbsent(to, vm -> new Outbox());
         long number = outbox.nextNumber++;
@@ -73,7 +74,7 @@
         return transfer.transfer() >= inbox.settledBelow && inbox.received.add(transfer.transfer());
     }
 
-    /** Passes on the transfers that are due for retransmission. */
+    /** Sends the unacknowledged transfers again whose retransmission is due. */
     void retransmit(long nowMillis, BiConsumer<VmId, LimitMessage.Transfer> sender) {
         if (pending == 0) {
             return;
@@ -98,7 +99,7 @@
                 .sum();
     }
 
-    /** Discards all transfers when a new generation starts, in which those of the former one are void. */
+    /** Discards all state at the start of a new generation, which invalidates the transfers of the previous one. */
     void clear() {
         outboxes.clear();
         inboxes.clear();
--- a/core/src/main/java/org/quetzalshunt/core/limit/TransferPolicy.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/TransferPolicy.java
@@ -24,13 +24,13 @@
     /** Smaller moves of rate are not made: two entries of similar demand would send the difference back and forth. */
     private static final int MINIMUM_MOVE_DIVISOR = 16;
 
-    /** Fewer tokens than a twentieth are not worth a message. */
+    /** Minimum transfer: less than a twentieth of a token does not justify a message. */
     private static final long MINIMUM_MICRO_TOKENS = MICRO_TOKENS / 20;
 
     /** Capacity for this many tokens absorbs random arrivals: four standard deviations of sixteen arrivals. */
     private static final long SMOOTHING_TOKENS = 16;
 
-    /** The same for larger traffic, as a time. */
+    /** Capacity for this much traffic is required in addition, so that it grows with the demand. */
     private static final double SMOOTHING_SECONDS = 0.1;
 
     /** Pooled parts stay for this long after a request, as another may follow. */
@@ -45,7 +45,7 @@
     private TransferPolicy() {}
 
     /**
-     * What to transfer.
+     * Amount to transfer.
      *
      * @param parts parts in millionths; 0 for no transfer
      * @param microTokens tokens that move with the parts
@@ -59,7 +59,7 @@
         return capacityMicroTokens < (SMOOTHING_TOKENS + demandPerSecond * SMOOTHING_SECONDS) * MICRO_TOKENS;
     }
 
-    /** What a home, which knows the demand of the other entries, transfers to a requester. */
+    /** Returns the amount that a home transfers to a requester, by the demand that all entries have reported. */
     static TransferAmount fromHome(long nowMillis, Bucket sender, LimitMessage.Request request) {
         if (sender.parts() == 0) {
             return TransferAmount.NONE;
@@ -81,7 +81,10 @@
         return split(sender, request, ownDemand, share, ALL_PARTS);
     }
 
-    /** What an entry returns to the home: everything of a pooled account, otherwise the rate that is not used. */
+    /**
+     * Returns the amount that an entry returns to the home: all of a bucket too small to split once it is idle or full,
+     * otherwise the unused rate.
+     */
     static TransferAmount surplus(long nowMillis, Bucket bucket) {
         double demand = bucket.demand.perSecond(nowMillis);
         boolean isIdle = nowMillis - bucket.lastTakeMillis >= POOLED_PARTS_RETENTION_MILLIS;
@@ -96,7 +99,7 @@
         return new TransferAmount(unusedParts, bucket.capacityOf(unusedParts));
     }
 
-    /** What an entry that is not the home transfers to a requester. */
+    /** Returns the amount that an entry other than the home transfers to a requester. */
     static TransferAmount fromHolder(long nowMillis, Bucket sender, LimitMessage.Request request) {
         if (sender.parts() == 0) {
             return TransferAmount.NONE;
--- a/core/src/main/java/org/quetzalshunt/core/limit/package-info.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/package-info.java
@@ -5,7 +5,8 @@
  * stopped using it.
  *
  * <p>Invariant: in every window of t seconds, the requests admitted by all entries together are at most rate × t +
- * burst. The design note docs/design/fleet-limits.md explains why it holds. All code here is driven by messages and by a
- * monotonic clock in milliseconds that its caller passes in. No code assumes that the clocks of two VMs agree.
+ * burst. The design note docs/design/fleet-limits.md explains why it holds. All code here is driven by messages and
+ * by times of a monotonic clock, in milliseconds, that the caller passes in. No code assumes that the clocks of two VMs
+ * agree.
  */
 package org.quetzalshunt.core.limit;
