--- a/core/src/main/java/org/quetzalshunt/core/decision/ServiceLoad.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/ServiceLoad.java
@@ -30,8 +30,8 @@
 final class ServiceLoad {
     /**
      * Queueing time after which a new program may use the capacity reserved for programs in progress. During a long
-     * saturation, later turns would otherwise keep new programs out for good. Five seconds are several answers long, so
-     * that a burst of later turns still goes first, and a twelfth of the usual deadline.
+     * saturation, later turns would otherwise exclude new programs permanently. Five seconds are several answers long,
+     * so that a burst of later turns still goes first, and a twelfth of the usual deadline.
      */
     static final long AGED_PROGRAM_WAIT_MILLIS = 5_000;
 
--- a/core/src/main/java/org/quetzalshunt/core/limit/Bucket.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/Bucket.java
@@ -167,7 +167,10 @@
         return (microTokens * ALL_PARTS + burstMicroTokens - 1) / burstMicroTokens;
     }
 
-    /** How many requests may wait. More than the whole fleet could serve within the wait are refused at once. */
+    /**
+     * Returns the maximum number of waiting requests. Requests beyond the number that the whole fleet can serve within
+     * the wait are refused at once.
+     */
     int waitingLimit(long waitMillis) {
         long servable = (burstMicroTokens + rateMicroTokens / 1_000 * waitMillis) / MICRO_TOKENS + 1;
         return (int) Math.min(MAXIMUM_WAITING, servable);
--- a/core/src/main/java/org/quetzalshunt/core/limit/CarryOver.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/CarryOver.java
@@ -22,8 +22,8 @@
     private static final long RETRANSMIT_MILLIS = 100;
 
     /**
-     * Generation changes whose unheld parts are still to be granted. Beyond this number, the oldest is dropped, and a
-     * newer one grants its parts after a wait of its own.
+     * Maximum number of generation changes whose unheld parts are still to be granted. Beyond this number, the oldest
+     * is dropped, and a newer one grants its parts after that one's own wait.
      */
     private static final int MAXIMUM_RECLAIMS = 8;
 
@@ -133,7 +133,7 @@
         return unheldParts;
     }
 
-    /** Since when this home could have granted all unheld parts, or now if it may not grant them yet. */
+    /** Time since which this home may grant all unheld parts, or the current time if it may not grant them yet. */
     long grantableSinceMillis(long nowMillis) {
         return reclaims.isEmpty()
                 ? nowMillis
@@ -141,7 +141,7 @@
     }
 
     /**
-     * How long the reclaimed parts of a generation stay unused. Before the first generation no VM can have held any.
+     * Time for which the reclaimed parts of a generation stay unused; 0 for the first, before which no VM held any.
      */
     static long waitMillis(LimitGenerationRecord record, LimitSettings settings) {
         if (record.isFirst()) {
--- a/core/src/main/java/org/quetzalshunt/core/limit/Generation.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/Generation.java
@@ -13,7 +13,7 @@
 /** A generation of the limits as read from the configuration stream, with the homes of the accounts derived from it. */
 final class Generation {
     /**
-     * Maximum number of homes of a generation. A dozen spreads the accounts well enough and bounds the reports of a
+     * Maximum number of homes of a generation. Twelve homes spread the accounts well enough and bound the reports of a
      * change of generation to a dozen per member. With reports to every member, their number would grow with the square
      * of the fleet.
      */
--- a/core/src/main/java/org/quetzalshunt/core/limit/Lease.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/Lease.java
@@ -21,6 +21,7 @@
  * confirmation, by a majority of the generation's members and by a majority of the listed entries, that they have
  * read no newer generation. A home that grants reclaimed parts first waits until confirmations can no longer come from
  * a majority, because a majority has read the new generation, and then until every older proof has expired.
+ * A VM that is the only member and the only listed entry needs no proof.
  */
 final class Lease {
     /** Confirmations are requested when the last read of the log is older than this fraction of the lease. */
--- a/core/src/main/java/org/quetzalshunt/core/limit/Reclaim.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/Reclaim.java
@@ -15,7 +15,7 @@
  * The parts that a home may grant because of one change of generation: those that no member carried over, once all
  * excluded members have stopped.
  *
- * <p>It stays in effect in later generations for as long as the same VM is the account's home. Parts that no member
+ * <p>It remains valid in later generations as long as the same VM is the account's home. Parts that no member
  * carried into one generation are not held in the next either, unless this home granted them. Otherwise, a fleet whose
  * VMs die one after the other would restart the wait each time and never grant the parts.
  */
--- a/core/src/main/java/org/quetzalshunt/core/routing/EndpointSelector.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/EndpointSelector.java
@@ -52,7 +52,10 @@
         return usesPlacement ? placement.assign(nowMillis, open, request.prompt()) : Optional.empty();
     }
 
-    /** The endpoints to compare: a random sample of the healthy ones, and those with affinity to the prompt. */
+    /**
+     * Returns the endpoints to compare: a random sample of the healthy ones and the healthy ones with affinity to the
+     * prompt. If none is healthy, all endpoints that can be used are compared.
+     */
     private List<EndpointRow> candidates(
             long nowMillis,
             List<EndpointRow> open,
--- a/core/src/test/java/org/quetzalshunt/core/attempt/CacheLeasesTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/CacheLeasesTest.java
@@ -13,7 +13,7 @@
 
 final class CacheLeasesTest {
     // The entry process that owns a program dies, so its lease is neither renewed nor released, and the engine would
-    // hold the memory for ever. The cache entry must be freed once the lease has expired, and only once.
+    // never free the memory. The cache entry must be freed once the lease has expired, and only once.
     @Test
     void expiredLeaseIsFreedOnce() {
         GateHarness harness = harnessWithFinishedAttempt();
