--- a/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointCodec.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointCodec.java
@@ -14,7 +14,7 @@
     static byte[] encode(ConfigurationState state) {
         StateWriter writer = StateWriter.create();
         writer.putInt(state.records().size());
-        for (AcceptedRecord record : state.records()) {
+        for (RawRecord record : state.records()) {
             writer.putLong(record.offset());
             writer.putBytes(record.record());
         }
@@ -36,7 +36,7 @@
         ConfigurationState state = new ConfigurationState();
         int records = reader.getInt();
         for (int index = 0; index < records; index++) {
-            AcceptedRecord record = new AcceptedRecord(reader.getLong(), reader.getBytes());
+            RawRecord record = new RawRecord(reader.getLong(), reader.getBytes());
             Optional<ConfigurationChange> change = recordReader.read(record.record());
             if (change.isEmpty() || !state.restore(record, change.get())) {
                 return Optional.empty();
--- a/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/Configuration.java
@@ -29,7 +29,7 @@
     private final RecordReader reader;
     private final CheckpointParts checkpointParts = CheckpointParts.create();
     private final List<Runnable> listeners = new ArrayList<>();
-    private final List<AcceptedRecord> bufferedRecords = new ArrayList<>();
+    private final List<RawRecord> bufferedRecords = new ArrayList<>();
     private final List<Long> invalidOffsets = new ArrayList<>();
     private ConfigurationState state = new ConfigurationState();
     private KeyIndex keys = KeyIndex.of(List.of());
@@ -61,12 +61,12 @@
             applyCheckpoint(offset, checkpoint);
             return;
         }
-        AcceptedRecord accepted = new AcceptedRecord(offset, record);
+        RawRecord raw = new RawRecord(offset, record);
         if (!complete) {
-            buffer(accepted);
+            buffer(raw);
             return;
         }
-        if (state.apply(accepted, change.get())) {
+        if (state.apply(raw, change.get())) {
             onStateChanged();
         }
     }
@@ -196,7 +196,7 @@
         return lastCheckpointCoversBelow;
     }
 
-    private void buffer(AcceptedRecord record) {
+    private void buffer(RawRecord record) {
         if (bufferedBytes + record.record().length > MAXIMUM_BUFFERED_BYTES) {
             return;
         }
@@ -231,7 +231,7 @@
     private void restore(ConfigurationState restored, long coversBelow) {
         state = restored;
         complete = true;
-        for (AcceptedRecord record : bufferedRecords) {
+        for (RawRecord record : bufferedRecords) {
             if (record.offset() >= coversBelow) {
                 reader.read(record.record()).ifPresent(change -> state.apply(record, change));
             }
--- a/core/src/main/java/org/quetzalshunt/core/configuration/ConfigurationChange.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/ConfigurationChange.java
@@ -6,14 +6,14 @@
 
 /** A decoded record of the configuration stream. */
 public sealed interface ConfigurationChange {
-    /** Base version of a service's first document. */
+    /** Stands for no version: the base of a first document, and the version of a service that has none. */
     long NO_VERSION = -1;
 
     /**
      * Puts or removes a service's document.
      *
      * @param service name of the service
-     * @param basedOnVersion version that the change replaces; {@link #NO_VERSION} for a service that never existed
+     * @param basedOnVersion version that the change replaces; {@link #NO_VERSION} for a service without a known version
      * @param team team on whose behalf the change is made
      * @param author person or tool that makes the change
      * @param putMillis time of the change, by the clock of the VM that accepted it
@@ -33,7 +33,7 @@
             implements ConfigurationChange {}
 
     /**
-     * An audit entry that tells operators how the system handled an event.
+     * An audit entry, by which operators see how the system handled an event.
      *
      * @param author person or component that caused the event
      * @param notedMillis time of the entry, by the clock of the VM that wrote it
@@ -53,7 +53,8 @@
     record LimitGenerationChange(LimitGenerationRecord generation, long notedMillis) implements ConfigurationChange {}
 
     /**
-     * One part of a snapshot of the state below an offset, for readers whose missing records retention has deleted.
+     * One part of a snapshot of the state below an offset. It is for readers that can no longer read the records below that
+     * offset, because retention has deleted them.
      *
      * @param coversBelow offset below which the snapshot replaces all records
      * @param part number of this part, from 0
--- a/core/src/main/java/org/quetzalshunt/core/configuration/ConfigurationState.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/ConfigurationState.java
@@ -19,11 +19,11 @@
     private final DocumentTable documents = new DocumentTable();
     private final Map<String, ChangeOutcome> outcomes = new LinkedHashMap<>();
     private final Deque<AcceptedAudit> audit = new ArrayDeque<>();
-    private AcceptedRecord generationRecord;
+    private RawRecord generationRecord;
     private LimitGenerationState generation;
 
     /** Applies a change at its position in the stream; false if it is void there. */
-    boolean apply(AcceptedRecord record, ConfigurationChange change) {
+    boolean apply(RawRecord record, ConfigurationChange change) {
         if (change instanceof DocumentChange document) {
             return applyDocument(record, document);
         }
@@ -34,7 +34,7 @@
     }
 
     /** Restores a record from a checkpoint, which contains only records that were valid at their position. */
-    boolean restore(AcceptedRecord record, ConfigurationChange change) {
+    boolean restore(RawRecord record, ConfigurationChange change) {
         if (change instanceof DocumentChange document) {
             documents.put(record, document);
             return true;
@@ -77,8 +77,8 @@
     }
 
     /** All kept records: documents, then audit entries, then the generation of rate sharing. */
-    List<AcceptedRecord> records() {
-        List<AcceptedRecord> records = new ArrayList<>(documents.records());
+    List<RawRecord> records() {
+        List<RawRecord> records = new ArrayList<>(documents.records());
         audit.forEach(entry -> records.add(entry.record()));
         if (generationRecord != null) {
             records.add(generationRecord);
@@ -86,7 +86,7 @@
         return records;
     }
 
-    private boolean applyDocument(AcceptedRecord record, DocumentChange change) {
+    private boolean applyDocument(RawRecord record, DocumentChange change) {
         if (outcomes.containsKey(change.changeId())) {
             return false;
         }
@@ -97,7 +97,7 @@
         return accepted;
     }
 
-    private boolean applyGeneration(AcceptedRecord record, LimitGenerationChange change) {
+    private boolean applyGeneration(RawRecord record, LimitGenerationChange change) {
         long current = generation == null ? ConfigurationChange.NO_VERSION : generation.offset();
         if (change.generation().basedOnGeneration() != current) {
             return false;
@@ -106,10 +106,10 @@
         return true;
     }
 
-    private void setGeneration(AcceptedRecord record, LimitGenerationChange change) {
+    private void setGeneration(RawRecord record, LimitGenerationChange change) {
         generationRecord = record;
         generation = new LimitGenerationState(record.offset(), change.generation(), change.notedMillis());
     }
 
-    private record AcceptedAudit(AcceptedRecord record, AuditEntry entry) {}
+    private record AcceptedAudit(RawRecord record, AuditEntry entry) {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/configuration/DocumentTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/DocumentTable.java
@@ -26,7 +26,7 @@
     private long historyBytes;
 
     /** Applies a change at its position in the stream; false if it is void there. */
-    boolean apply(AcceptedRecord record, DocumentChange change) {
+    boolean apply(RawRecord record, DocumentChange change) {
         if (change.basedOnVersion() != currentVersion(change.service()) || !isTeamAllowed(change)) {
             return false;
         }
@@ -38,7 +38,7 @@
     }
 
     /** Adds a version that is known to be valid, such as one from a checkpoint. */
-    void put(AcceptedRecord record, DocumentChange change) {
+    void put(RawRecord record, DocumentChange change) {
         Deque<Version> versions = byService.computeIfAbsent(change.service(), ignored -> new ArrayDeque<>());
         if (!versions.isEmpty()) {
             historyBytes += versions.peekLast().record().record().length;
@@ -74,10 +74,10 @@
     }
 
     /** All kept records, in stream order. */
-    List<AcceptedRecord> records() {
-        List<AcceptedRecord> records = new ArrayList<>();
+    List<RawRecord> records() {
+        List<RawRecord> records = new ArrayList<>();
         byService.values().forEach(versions -> versions.forEach(version -> records.add(version.record())));
-        records.sort(Comparator.comparingLong(AcceptedRecord::offset));
+        records.sort(Comparator.comparingLong(RawRecord::offset));
         return records;
     }
 
@@ -151,5 +151,5 @@
                 change.sourceText());
     }
 
-    private record Version(AcceptedRecord record, VersionedDocument document) {}
+    private record Version(RawRecord record, VersionedDocument document) {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/configuration/Freshness.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/Freshness.java
@@ -60,17 +60,18 @@
      * @param peer name of the peer; a peer that is not listed is remembered until the next list
      * @param configurationNext offset that the peer applies next
      * @param configurationAgeMillis age of the peer's own last read of the log; negative if it has none
-     * @param spokenAfterMillis time on this node's clock before the report was made: when this node sent the message
+     * @param reportedAfterMillis time on this node's clock before the report was made: when this node sent the message
      *     that the peer echoed
      */
-    public void onPeerReport(String peer, long configurationNext, long configurationAgeMillis, long spokenAfterMillis) {
+    public void onPeerReport(
+            String peer, long configurationNext, long configurationAgeMillis, long reportedAfterMillis) {
         PeerReport previous = reports.getOrDefault(peer, PeerReport.NONE);
-        long read = configurationAgeMillis < 0 ? NEVER : spokenAfterMillis - configurationAgeMillis;
+        long read = configurationAgeMillis < 0 ? NEVER : reportedAfterMillis - configurationAgeMillis;
         reports.put(
                 peer,
                 new PeerReport(
                         Math.max(previous.next(), configurationNext),
-                        Math.max(previous.madeAfterMillis(), spokenAfterMillis),
+                        Math.max(previous.madeAfterMillis(), reportedAfterMillis),
                         Math.max(previous.readMillis(), read)));
     }
 
