--- a/core/src/main/java/org/quetzalshunt/core/log/CheckpointSchedule.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/CheckpointSchedule.java
@@ -7,7 +7,7 @@
  * first one publishes, and the others draw a new time when they read that checkpoint. Two concurrent checkpoints do no
  * harm, since a checkpoint never replaces newer state.
  *
- * <p>Checkpoints keep state that is older than the log's retention. Without them a process that starts later would not
+ * <p>Checkpoints preserve state that is older than the log's retention. Without them a process that starts later would not
  * get, for instance, a document that was put months ago.
  */
 public final class CheckpointSchedule {
--- a/core/src/main/java/org/quetzalshunt/core/log/LogFold.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/LogFold.java
@@ -1,6 +1,9 @@
 package org.quetzalshunt.core.log;
 
-/** A state machine driven by the records of one stream. It gets the same calls in the same order at every reader. */
+/**
+ * A state machine that applies the records of one stream. Every reader applies the records in log order. A reader whose
+ * unread records were deleted gets {@link #onGap} in place of them.
+ */
 public interface LogFold {
     /**
      * Applies a record. The records of a batch that is in the log twice are applied once.
@@ -12,16 +15,16 @@
     void apply(long offset, byte[] record, int indexInBatch);
 
     /**
-     * Retention has deleted records that were not read. The state may be outdated and has to be rebuilt from the next
-     * checkpoint.
+     * Called when retention has deleted records that were not read. The state may be outdated and has to be rebuilt from
+     * the next checkpoint.
      *
-     * @param firstKept oldest offset still kept, at which reading continues
+     * @param firstKept oldest retained offset, at which reading continues
      */
     void onGap(long firstKept);
 
-    /** The entry at an offset is not a valid batch and was skipped. */
+    /** Called when the entry at an offset is not a valid batch and was skipped. */
     default void onMalformedEntry(long offset) {}
 
-    /** All offsets below a position were applied or skipped. Called after the last record of each offset. */
+    /** Called after the last record of each offset, when all offsets below a position were applied or skipped. */
     default void onAppliedBelow(long position) {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/log/StreamSession.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/StreamSession.java
@@ -8,7 +8,7 @@
 /**
  * A process's client of one stream. It applies the stream's records in log order to a {@link LogFold}, appends
  * submitted records in batches, and resolves appends whose answer was lost by reading the stream. Not thread-safe: one
- * thread calls {@link #tick} every few milliseconds and passes on the transport's answers.
+ * thread calls {@link #tick} every few milliseconds and delivers the transport's answers.
  *
  * <p>At most one append and one read are pending. When an append's offset is the next one to apply, the batch is
  * applied at once, without reading it back; otherwise the records before it are read first.
@@ -79,7 +79,7 @@
      * Submits a record to be appended.
      *
      * @param whenFolded called exactly once: directly after the record was applied, at once when it is rejected, or
-     *     when its outcome can no longer be found out
+     *     when its outcome can no longer be determined
      */
     public void submit(long nowMillis, byte[] record, Consumer<Submission> whenFolded) {
         if (BatchFrame.recordBytes(record) > batchCapacityBytes()) {
@@ -142,7 +142,7 @@
         if (nextOffset >= answer.next()) {
             hasRead = true;
             completedReadSerial = startedReadSerial;
-            // The start of the read, not its answer: the state is certain to be current only as of the start.
+            // Records the start time of the read, because the state is certain to be current only as of its start.
             lastReadMillis = readStartedMillis;
         }
         settleReadBack();
@@ -224,7 +224,7 @@
             requestedReadSerial++;
             return;
         }
-        // The fold is past the offset without having applied the batch: it was lost in a gap or is void for its age.
+        // The offset was passed without applying the batch, which was lost in a gap or is void for its age.
         retryIfTooOld();
         if (inFlight != null && !inFlight.is(InFlightBatch.State.READY)) {
             settleAsUnresolved();
--- a/core/src/main/java/org/quetzalshunt/core/log/Submission.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/Submission.java
@@ -2,7 +2,7 @@
 
 /** The outcome of a submitted record. */
 public sealed interface Submission {
-    /** The record is durable and was applied at this offset. The fold decides whether it was valid there. */
+    /** The record is durable and was applied at this offset. The state machine decides whether it was valid there. */
     record Folded(long offset) implements Submission {}
 
     /** The backlog is full. The record was rejected and will never be in the log. */
@@ -32,7 +32,7 @@
         return new RejectedTooLarge();
     }
 
-    /** The outcome cannot be found out any more. */
+    /** The outcome can no longer be determined. */
     static Submission unresolved() {
         return new Unresolved();
     }
--- a/core/src/main/java/org/quetzalshunt/core/program/History.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/History.java
@@ -9,10 +9,10 @@
  * the message, so that one hash identifies the whole history.
  */
 final class History {
-    private static final byte[] EMPTY = new byte[32];
+    private static final byte[] EMPTY_HASH = new byte[32];
 
     private final List<byte[]> messages = new ArrayList<>();
-    private byte[] hash = EMPTY;
+    private byte[] hash = EMPTY_HASH;
     private long bytes;
 
     void append(byte[] message) {
@@ -24,7 +24,7 @@
     /** Frees the messages of an ended program; its results are kept in {@link ResultTable}. */
     void clear() {
         messages.clear();
-        hash = EMPTY;
+        hash = EMPTY_HASH;
         bytes = 0;
     }
 
@@ -44,19 +44,19 @@
         return messages;
     }
 
-    /** Whether this whole history is a prefix of the list. */
+    /** Whether the list starts with all messages of this history. */
     boolean isPrefixOf(List<byte[]> list) {
         if (list.size() < messages.size()) {
             return false;
         }
-        byte[] chain = EMPTY;
+        byte[] chain = EMPTY_HASH;
         for (int index = 0; index < messages.size(); index++) {
             chain = Digests.sha256(chain, list.get(index));
         }
         return Arrays.equals(chain, hash);
     }
 
-    /** Whether the list has the same first message, which suggests that it includes the history. */
+    /** Whether both have the same first message; if so, the caller probably sent the whole conversation. */
     boolean sharesFirstMessage(List<byte[]> list) {
         return !messages.isEmpty() && !list.isEmpty() && Arrays.equals(messages.get(0), list.get(0));
     }
--- a/core/src/main/java/org/quetzalshunt/core/program/MessageList.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/MessageList.java
@@ -4,11 +4,13 @@
 import java.util.List;
 import org.agrona.concurrent.UnsafeBuffer;
 
-/** Encodes a list of messages as one byte array, in which each message follows its length in four bytes. */
+/**
+ * Encodes a list of messages as one byte array, in which each message is preceded by its length as a four-byte integer
+ * in the native byte order.
+ */
 public final class MessageList {
     private MessageList() {}
 
-    /** Encodes messages. */
     public static byte[] join(List<byte[]> messages) {
         int length = messages.stream()
                 .mapToInt(message -> Integer.BYTES + message.length)
--- a/core/src/main/java/org/quetzalshunt/core/program/Program.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/Program.java
@@ -3,7 +3,10 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 
-/** The state of one program: a conversation with a history and a token budget. Built from the records of the stream. */
+/**
+ * The state of one program, which is a conversation with a history and a token budget. It is built by applying the
+ * records of the shard's stream.
+ */
 final class Program {
     final String id;
     final String clientAccount;
@@ -16,19 +19,25 @@
     int turns;
     /** Request of the last completed turn. */
     String lastRequestId = "";
-    /** Request whose turn completed after the program had ended; remembered so that it is charged only once. */
+    /** Request whose turn completed after the program had ended; kept so that it is charged only once. */
     String lateChargedRequestId = "";
 
     long contextTokens;
     /** Tokens spent by this program and, for a root, by its sub-agents. */
     long spentTokens;
-    /** Recorded upper bound on the cost of the next turn; counted as spent when the owner crashes. */
+    /**
+     * Recorded upper bound on the cost of the next turn. Charged, within the remaining budget, when the shard is claimed
+     * without a release by the former owner.
+     */
     long recordedReservationTokens;
 
     long lastActiveMillis;
     OptionalInt endedCode = OptionalInt.empty();
     long endedMillis;
-    /** Reservations of running turns; known to the owner only, not recorded. */
+    /**
+     * Tokens reserved for the running turns of this program and, for a root, of its sub-agents. Not recorded: only the
+     * owner of the shard maintains it.
+     */
     long activeReservationTokens;
 
     Program(ShardRecord.ProgramCreated created) {
--- a/core/src/main/java/org/quetzalshunt/core/program/Shard.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/Shard.java
@@ -21,7 +21,7 @@
  * and running turns and calls.
  *
  * <p>Success is reported only after the record has been applied as valid. Records that a former owner submits after its
- * epoch ended are void, and their callers are told that the outcome is unknown.
+ * epoch ended are void, and their callers get an unknown outcome.
  */
 public final class Shard implements LogFold {
     private static final long RETRY_AFTER_MILLIS = 1_000;
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointPublisher.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointPublisher.java
@@ -6,8 +6,9 @@
 import org.quetzalshunt.core.log.StreamSession;
 
 /**
- * Publishes checkpoints of an owned shard, so that its state outlives the records that retention deletes. The next part
- * is submitted only when the backlog is small, so that end records of turns do not queue behind a large checkpoint.
+ * Publishes checkpoints of an owned shard, so that its state can be rebuilt after retention has deleted older records. The
+ * next part is submitted only when the backlog is small, so that records of completed turns are not delayed by a large
+ * checkpoint.
  */
 public final class ShardCheckpointPublisher {
     private static final int PART_BYTES = 256 * 1024;
@@ -16,7 +17,7 @@
     private final StreamSession session;
     private final CheckpointSchedule schedule;
     private final Deque<byte[]> pendingParts = new ArrayDeque<>();
-    private long publishedCheckpoints;
+    private long startedCheckpoints;
 
     private ShardCheckpointPublisher(Shard shard, StreamSession session, CheckpointSchedule schedule) {
         this.shard = shard;
@@ -34,7 +35,7 @@
     }
 
     /**
-     * Submits the next part of a due checkpoint. Call it next to the session's tick, not while applying records.
+     * Submits the next part of a due checkpoint. Must be called periodically, but not while records are being applied.
      */
     public void tick(long nowMillis) {
         if (!shard.isOwned()) {
@@ -43,7 +44,7 @@
         }
         boolean due = schedule.isDue(nowMillis, shard.checkpointCoversBelow(), session.firstKept());
         if (due && pendingParts.isEmpty()) {
-            publishedCheckpoints++;
+            startedCheckpoints++;
             pendingParts.addAll(shard.checkpointRecords(PART_BYTES));
         }
         if (!pendingParts.isEmpty() && session.isAvailable() && session.backlogBytes() < PART_BYTES) {
@@ -51,8 +52,8 @@
         }
     }
 
-    /** Number of checkpoints started by this process. */
-    public long publishedCheckpoints() {
-        return publishedCheckpoints;
+    /** Number of checkpoints that were due. The parts of the last one may not have been submitted yet. */
+    public long startedCheckpoints() {
+        return startedCheckpoints;
     }
 }
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnScheduler.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnScheduler.java
@@ -14,7 +14,7 @@
 import org.quetzalshunt.core.result.ResultCode;
 
 /**
- * Runs the turns of a shard's programs at its owner: one turn per program at a time, the others wait in order of
+ * Runs the turns of a shard's programs at its owner, one turn per program at a time. Other turns wait in order of
  * arrival. The state comes from a supplier because applying a checkpoint replaces the {@link ShardState} object.
  */
 final class TurnScheduler {
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
@@ -15,7 +15,10 @@
 import org.quetzalshunt.core.result.Refusal;
 import org.quetzalshunt.core.vm.VmId;
 
-/** An entry process with one shard on a fake log. It records started turns and calls, which the test then ends. */
+/**
+ * Test fixture: an entry process with one shard on a {@link FakeLog}. Started turns and calls are recorded, and the test
+ * completes them.
+ */
 final class ShardNode implements ShardListener {
     static final String ACCOUNT = "arusha";
 
@@ -50,7 +53,7 @@
         return new ShardNode(log, codec, name, incarnation, StreamSettings.onDemand(5, name.hashCode()));
     }
 
-    static ShardNode withBacklogOf(FakeLog log, ShardRecordCodec codec, int records) {
+    static ShardNode withMaximumBacklog(FakeLog log, ShardRecordCodec codec, int records) {
         return new ShardNode(log, codec, "small", 1, new StreamSettings(5, false, 0, 10_000, records, 10_000, 1));
     }
 
@@ -110,7 +113,7 @@
         byte[] answer = octets("answer " + requestId);
         TokenUsage usage = new TokenUsage(start.contextTokens(), 0, tokens);
         TurnResult result = new TurnResult(answer, new StoredAnswer(200, "text/plain", answer), usage);
-        shard.endTurn(log.now(), start, result, kept -> durable.put(requestId, kept));
+        shard.endTurn(log.now(), start, result, isDurable -> durable.put(requestId, isDurable));
     }
 
     AdmissionDecision call(String key, String requestId) {
--- a/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardTest.java
@@ -169,7 +169,7 @@
         runTurn(one, PROGRAM, "second");
         long before = log.next();
         log.run(16_000, this::ticks);
-        assertThat(one.publisher.publishedCheckpoints()).isEqualTo(1);
+        assertThat(one.publisher.startedCheckpoints()).isEqualTo(1);
         if (turnsAfterTheCheckpoint) {
             runTurn(one, PROGRAM, "third");
         }
@@ -247,7 +247,7 @@
     /** A turn that is refused because its reservation cannot be recorded must not block later turns of its program. */
     @Test
     void aTurnRefusedForAFullBacklogDoesNotBlockItsProgram() {
-        ShardNode small = ShardNode.withBacklogOf(log, codec, 1);
+        ShardNode small = ShardNode.withMaximumBacklog(log, codec, 1);
         small.takeOver(small::tick);
         small.create(PROGRAM, 100_000);
         log.run(40, small::tick);
