--- a/core/src/main/java/org/quetzalshunt/core/membership/MembershipSettings.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/MembershipSettings.java
@@ -25,7 +25,10 @@
     /** Eight rounds: even if one message in ten is lost, a heartbeat of a live VM arrives within them. */
     private static final long DEFAULT_TIMEOUT_MILLIS = 4_000;
 
-    /** The more entries share the digests, the less often a heartbeat of each arrives. Measured in the design note. */
+    /**
+     * The more entries share the digests, the less often a heartbeat of each entry arrives. The design note contains the
+     * measurements.
+     */
     private static final long TIMEOUT_MILLIS_PER_ENTRY = 45;
 
     /** One round and the time to reconnect, within which a heartbeat of a live peer arrives after a lost connection. */
--- a/core/src/main/java/org/quetzalshunt/core/membership/Peer.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/Peer.java
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Discards the state of the former incarnation. Guards against a replaced VM that inherits the shards of the dead
-     * one.
+     * Discards the state of the former incarnation. Otherwise the new process would appear to own the shards of the
+     * former one.
      */
     void restart(long newIncarnation) {
         incarnation = newIncarnation;
--- a/core/src/main/java/org/quetzalshunt/core/policy/Mechanism.java
+++ b/core/src/main/java/org/quetzalshunt/core/policy/Mechanism.java
@@ -4,14 +4,11 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/**
- * Parts of the scheduling policy that can be disabled one by one. The comment of each describes its effect and the
- * behaviour without it.
- */
+/** Parts of the scheduling policy that can be disabled one by one. */
 public enum Mechanism {
-    /** Sends work to endpoints that have its prompt cached. Without it: to the least loaded endpoint. */
+    /** Prefers endpoints that have more of the prompt cached. Without it: cached prompts are ignored. */
     PREFIX_AFFINITY,
-    /** Gateways announce which endpoints cache which prompts. Without it: each gateway knows its own turns only. */
+    /** Gateways announce which endpoints cache which prompts. Without it: each gateway uses its own turns only. */
     SHARED_PREFIX_LOCATIONS,
     /**
      * Sends a prompt part that no endpoint is known to cache to an endpoint that all gateways choose alike by
@@ -19,8 +16,8 @@
      */
     PREFIX_PLACEMENT,
     /**
-     * Compares two endpoints picked at random. Without it: all endpoints are compared, and all VMs pick the one that
-     * looks best at the same time.
+     * Compares two random endpoints and those with affinity to the prompt. Without it: all endpoints are compared, and
+     * at any time all gateways select the same one.
      */
     TWO_CHOICES,
     /**
@@ -33,13 +30,13 @@
      */
     TOKEN_RATE,
     /**
-     * After an outage or a restart, a VM reads the heartbeats of its peers at short intervals until it holds its quota
-     * shares. Without it: once a second, as in steady state.
+     * After an outage or a restart, a gateway reads the heartbeats of its peers at short intervals until it holds its
+     * quota shares. Without it: once a second, as in steady state.
      */
     FAST_RENEWAL,
     /** In an outage, requests wait for a part of their remaining time. Without it: they are refused at once. */
     OUTAGE_WAIT,
-    /** Retry-after times in an outage of all VMs are long enough to outlast it. Without it: 0.9 s. */
+    /** Retry-after times in an outage of all gateways are long enough to outlast it. Without it: at most 0.9 s. */
     OUTAGE_RETRY_DELAY,
     /** First turns of programs beyond their account's rate get a longer retry-after time. Without it: the usual one. */
     PROGRAM_START_DELAY,
@@ -48,11 +45,17 @@
      * both are read from the store.
      */
     PEER_HISTORY,
-    /** Gateways announce exhausted budgets. Without it: each finds out by itself, at the cost of one rate token. */
+    /**
+     * Gateways announce exhausted budgets. Without it: each gateway detects them only by a request, which costs one rate
+     * token.
+     */
     SHARED_EXHAUSTION,
     /** A program starts only on a rate token that is available now. Without it: its start may wait for the next one. */
     STARTS_WITHOUT_WAIT,
-    /** Where program starts wait for tokens, the most urgent programs wait longer. Without it: as long as others. */
+    /**
+     * Programs of the highest priority may wait longer for a rate token before they start. Without it: as long as others.
+     * Has no effect while {@link #STARTS_WITHOUT_WAIT} is enabled.
+     */
     URGENT_STARTS;
 
     /** Name on the command line: lower case, with hyphens. */
--- a/core/src/main/java/org/quetzalshunt/core/quarantine/CrashTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/quarantine/CrashTable.java
@@ -11,14 +11,14 @@
  *
  * <p>Guards against a request that crashes every endpoint that runs it and that its caller retries at any VM, which
  * would take down one endpoint after another. A request that only happened to be running when an endpoint crashed for
- * another reason is told apart by the count, and its entry is removed as soon as an endpoint answers it.
+ * another reason rarely reaches the count, and its entry is removed as soon as an endpoint answers it.
  */
 public final class CrashTable {
     /** Two crashes with the same request can be coincidence when several endpoints fail in a row; three are not. */
     public static final int QUARANTINE_CRASHES = 3;
 
     /**
-     * How long a request's crashes are remembered after the last of them. Callers retry within seconds, and an endpoint
+     * Time after the last crash of a request after which its entry expires. Callers retry within seconds, and an endpoint
      * that was repaired should be tried again.
      */
     public static final long RETENTION_MILLIS = 120_000;
--- a/core/src/main/java/org/quetzalshunt/core/quota/PeerTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/PeerTable.java
@@ -5,11 +5,11 @@
 import java.util.TreeMap;
 
 /**
- * The other VMs of the fleet as known from their heartbeats: which of their leases may still be in force, and which VMs
+ * The other VMs of the fleet according to their heartbeats: which of their leases may still be in force, and which VMs
  * are members of the fleet.
  *
- * <p>The two answers differ while the store is unavailable. Leases expire then, because no VM can renew its lease.
- * Members stay, because a VM that cannot write a heartbeat may still be running. If an outage removed members, every VM
+ * <p>The two sets differ while the store is unavailable. Leases expire then, because no VM can renew its lease. Members
+ * are kept, because a VM that cannot write a heartbeat may still be running. If an outage removed members, every VM
  * would close its links to all others, and after the outage every VM would claim all quotas.
  */
 public final class PeerTable {
--- a/core/src/main/java/org/quetzalshunt/core/quota/QuotaLeases.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/QuotaLeases.java
@@ -21,7 +21,7 @@
     /** Number of parts that make up the whole of an account's rate and burst. */
     public static final int ALL_PARTS = ShareAllocation.ALL_PARTS;
 
-    /** Write attempts that conflict in a row before the acquisition is put off until the next read of heartbeats. */
+    /** Consecutive conflicting writes after which the acquisition is deferred to the next read of heartbeats. */
     private static final int MAXIMUM_ATTEMPTS = 6;
 
     private static final class Holding {
--- a/core/src/main/java/org/quetzalshunt/core/quota/VmLease.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/VmLease.java
@@ -5,8 +5,9 @@
  * at which the heartbeat was sent. An acknowledgement that arrives after the lease has expired is ignored: a new term
  * begins, in which this VM holds no shares yet.
  *
- * <p>The holder's lease is shorter than the time for which peers respect it ({@link PeerTable#LEASE_OBSERVATION_MILLIS}). Each
- * side measures on its own monotonic clock, so the holder always stops using its shares before a peer takes them over.
+ * <p>The holder's lease is shorter than the time for which peers respect it ({@link
+ * PeerTable#LEASE_OBSERVATION_MILLIS}). Each side measures on its own monotonic clock, so the holder always stops using
+ * its shares before a peer takes them over.
  */
 public final class VmLease {
     /** Keys expire after five seconds without the store, so a longer lease would serve no request. */
--- a/core/src/main/java/org/quetzalshunt/core/route/RequestKind.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/RequestKind.java
@@ -1,10 +1,13 @@
 package org.quetzalshunt.core.route;
 
-/** Determines whether a request may be sent again when the outcome of an attempt is unknown. */
+/**
+ * Kind of the requests of a route: whether a request may be sent again when the outcome of an attempt is unknown, and
+ * whether the response is a stream of events.
+ */
 public enum RequestKind {
     /** May run more than once. */
     IDEMPOTENT,
-    /** Runs at most once per request of a caller. */
+    /** Runs at most once. */
     NON_IDEMPOTENT,
     /** Runs at most once and is answered by a stream of events. */
     STREAM
--- a/core/src/main/java/org/quetzalshunt/core/route/Route.java
+++ b/core/src/main/java/org/quetzalshunt/core/route/Route.java
@@ -9,7 +9,7 @@
  * @param name name in logs
  * @param host value of the Host header
  * @param pathPrefix begins and ends with a slash
- * @param kind whether a request may be sent again after an unknown outcome
+ * @param kind whether a request may be sent again after an unknown outcome, and whether the response is a stream
  * @param timeoutMillis maximum time from the arrival of a request to its answer
  * @param targetLatencyMillis latency objective of an answer
  * @param priority 0 is the most urgent
--- a/core/src/main/java/org/quetzalshunt/core/store/AppendAnswer.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/AppendAnswer.java
@@ -11,6 +11,9 @@
     /** Nothing was stored. */
     record Refused(String reason) implements AppendAnswer {}
 
-    /** No answer: the records may be stored already, later if the condition still holds then, or never. */
+    /**
+     * No answer. The records may be stored already, may never be stored, or may be stored later if the condition still
+     * holds then.
+     */
     record Unknown(String reason) implements AppendAnswer {}
 }
--- a/core/src/main/java/org/quetzalshunt/core/store/ChangesAnswer.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/ChangesAnswer.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 
-/** Result of a read of a shard's records from a given number on. */
+/** Result of {@link SharedMap#changes}. */
 public sealed interface ChangesAnswer {
     /**
-     * The records in the order of their numbers, possibly none.
+     * The records in the order of their offsets, possibly none.
      *
-     * @param next number from which to continue reading
-     * @param end number of the next record to be appended; records from {@code next} up to it were omitted from this
+     * @param next offset from which to continue reading
+     * @param end offset of the next record to be appended; records from {@code next} up to it were omitted from this
      *     page
      */
     record Changes(List<MapEntry> entries, long next, long end) implements ChangesAnswer {}
--- a/core/src/main/java/org/quetzalshunt/core/store/ResponseTimeout.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/ResponseTimeout.java
@@ -18,7 +18,7 @@
     /** Multiple of the average latency that leaves room for calls that queue behind others. */
     private static final double AVERAGE_MULTIPLE = 5;
 
-    /** Weight of the newest latency in the moving average, which so covers about the last ten answers. */
+    /** Weight of the newest latency in the moving average, which therefore covers about the last ten answers. */
     private static final double SMOOTHING_FACTOR = 0.1;
 
     private double averageMillis;
--- a/core/src/main/java/org/quetzalshunt/core/store/SharedMap.java
+++ b/core/src/main/java/org/quetzalshunt/core/store/SharedMap.java
@@ -32,7 +32,7 @@
     /**
      * Reads records in the order in which they were appended.
      *
-     * @param from number of the first record to read
+     * @param from offset of the first record to read
      * @param waitMillis maximum time to wait for a record (long poll); 0 to return at once
      * @param timeoutMillis time after the wait at which the call is reported as unanswered
      */
--- a/core/src/main/java/org/quetzalshunt/core/turn/TurnDirectory.java
+++ b/core/src/main/java/org/quetzalshunt/core/turn/TurnDirectory.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 
 /**
- * Maps turns to the VMs that ran them, for the turns whose directory is this VM; bounded, with eviction of the oldest.
- * Each turn has one directory VM, chosen by rendezvous hashing, so that VMs with the same view of the membership agree
- * on it.
+ * Maps turns to the VMs that ran them and have them in their cache. Rendezvous hashing assigns each turn to one VM, so
+ * that VMs with the same view of the membership agree on it, and the directory of a VM contains the turns assigned to
+ * that VM. It is bounded and evicts the oldest entry.
  */
 public final class TurnDirectory {
     private static final int MAXIMUM_TURNS = 8_192;
--- a/core/src/main/java/org/quetzalshunt/core/turn/TurnPrompt.java
+++ b/core/src/main/java/org/quetzalshunt/core/turn/TurnPrompt.java
@@ -9,18 +9,19 @@
     private TurnPrompt() {}
 
     /**
-     * Assembles the whole prompt.
+     * Returns the concatenated prompt.
      *
-     * @param chain the previous turns, oldest first
+     * @param previousTurns previous turns of the program, oldest first
+     * @param input input of the new turn
      */
-    public static byte[] assemble(List<TurnRecord> chain, byte[] input) {
+    public static byte[] assemble(List<TurnRecord> previousTurns, byte[] input) {
         int length = input.length;
-        for (TurnRecord turn : chain) {
+        for (TurnRecord turn : previousTurns) {
             length += turn.input().length + turn.output().length;
         }
         byte[] prompt = new byte[length];
         int position = 0;
-        for (TurnRecord turn : chain) {
+        for (TurnRecord turn : previousTurns) {
             position = copy(turn.input(), prompt, position);
             position = copy(turn.output(), prompt, position);
         }
--- a/core/src/test/java/org/quetzalshunt/core/budget/ProgramAllotmentTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/budget/ProgramAllotmentTest.java
@@ -37,8 +37,8 @@
 
     /**
      * Nine turns of a program arrive at nine different VMs, each of which transfers its unused tokens to the next. Each
-     * turn generates a quarter of its maximum. Guards against a raise for more than about every third turn, and against
-     * refusing a turn that the budget covers.
+     * turn generates a quarter of its maximum. A VM may raise its allotment for about every third turn at most, and
+     * no turn that the budget covers may be refused.
      */
     @Test
     void transfersAvoidMostAppendsAcrossManyVms() {
--- a/core/src/test/java/org/quetzalshunt/core/route/RouteTableTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/route/RouteTableTest.java
@@ -22,6 +22,7 @@
             route("other", "i", "/a/"),
             route("all", "i", "/")));
 
+    // Columns: host, path, name of the expected route; no name if no route matches.
     @ParameterizedTest
     @CsvSource({
         "h,/a/x,short",
