--- a/wire/src/main/java/org/quetzalshunt/wire/record/ShardRecords.java
+++ b/wire/src/main/java/org/quetzalshunt/wire/record/ShardRecords.java
@@ -18,8 +18,8 @@
 import org.quetzalshunt.wire.message.MessageCodec;
 
 /**
- * Encodes and decodes the records of the shard streams, in the Thrift compact protocol. A record without a required
- * field is malformed.
+ * Encodes and decodes the records of the shard streams, in the Thrift compact protocol. A record without one of its
+ * mandatory strings or byte arrays is malformed; an absent number is decoded as 0.
  */
 public final class ShardRecords implements ShardRecordCodec {
     private ShardRecords() {}
@@ -53,7 +53,7 @@
                     new ClaimRecord(claim.basedOnEpoch(), claim.vm(), claim.incarnation(), claim.release()));
         }
         if (record instanceof ShardRecord.ProgramCreated created) {
-            return org.quetzalshunt.wire.generated.ShardRecord.programCreated(created(created));
+            return org.quetzalshunt.wire.generated.ShardRecord.programCreated(programCreated(created));
         }
         if (record instanceof ShardRecord.TurnEnded ended) {
             return org.quetzalshunt.wire.generated.ShardRecord.turnEnded(turnEnded(ended));
@@ -92,7 +92,7 @@
                 ByteBuffer.wrap(checkpoint.state())));
     }
 
-    private static ProgramCreated created(ShardRecord.ProgramCreated created) {
+    private static ProgramCreated programCreated(ShardRecord.ProgramCreated created) {
         ProgramCreated thrift = new ProgramCreated();
         thrift.setEpoch(created.epoch());
         thrift.setProgram(created.program());
@@ -116,8 +116,8 @@
         thrift.setRequestDigest(ended.requestDigest());
         thrift.setPreviousHash(ended.previousHash());
         thrift.setMessages(ended.messages());
-        // A request with an idempotency key may be repeated, so that its whole response is stored. Otherwise the answer
-        // suffices.
+        // A request with an idempotency key may be repeated, so its whole response is stored. Without a key, only the
+        // answer is stored.
         thrift.setAnswer(ended.answer());
         thrift.setStatus(ended.stored().status());
         thrift.setContentType(ended.stored().contentType());
@@ -148,7 +148,7 @@
     private static ShardRecord fromThrift(org.quetzalshunt.wire.generated.ShardRecord record) {
         return switch (record.getSetField()) {
             case CLAIM -> claim(record.getClaim());
-            case PROGRAM_CREATED -> created(record.getProgramCreated());
+            case PROGRAM_CREATED -> programCreated(record.getProgramCreated());
             case TURN_ENDED -> turnEnded(record.getTurnEnded());
             case RESERVATION_RAISED ->
                 new ShardRecord.ReservationRaised(
@@ -160,7 +160,7 @@
                         record.getBudgetCharged().getEpoch(),
                         required(record.getBudgetCharged().getProgram()),
                         record.getBudgetCharged().getTokens());
-            case CALL_INTENT -> intent(record.getCallIntent());
+            case CALL_INTENT -> callIntent(record.getCallIntent());
             case CALL_ENDED -> callEnded(record.getCallEnded());
             case PROGRAM_ENDED ->
                 new ShardRecord.ProgramEnded(
@@ -184,7 +184,7 @@
                 claim.getBasedOnEpoch(), required(claim.getVm()), claim.getIncarnation(), claim.isRelease());
     }
 
-    private static ShardRecord created(ProgramCreated created) {
+    private static ShardRecord programCreated(ProgramCreated created) {
         return new ShardRecord.ProgramCreated(
                 created.getEpoch(),
                 required(created.getProgram()),
@@ -215,7 +215,7 @@
                 ended.getEndedMillis());
     }
 
-    private static ShardRecord intent(CallIntent intent) {
+    private static ShardRecord callIntent(CallIntent intent) {
         return new ShardRecord.CallIntent(
                 intent.getEpoch(),
                 required(intent.getClientAccount()),
