--- a/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointPublisher.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/CheckpointPublisher.java
@@ -5,8 +5,8 @@
 import org.quetzalshunt.core.log.StreamSession;
 
 /**
- * Publishes checkpoints of the configuration, so that it can be rebuilt after retention has deleted older records. {@link
- * #tick} must be called periodically, but not by a listener of the configuration.
+ * Publishes checkpoints of the configuration, so that it can be rebuilt after retention has deleted older records.
+ * {@link #tick} must be called periodically, but not by a listener of the configuration.
  */
 public final class CheckpointPublisher {
     private final Configuration configuration;
--- a/core/src/main/java/org/quetzalshunt/core/configuration/ConfigurationChange.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/ConfigurationChange.java
@@ -53,8 +53,8 @@
     record LimitGenerationChange(LimitGenerationRecord generation, long notedMillis) implements ConfigurationChange {}
 
     /**
-     * One part of a snapshot of the state below an offset. It is for readers that can no longer read the records below that
-     * offset, because retention has deleted them.
+     * One part of a snapshot of the state below an offset. It is for readers that can no longer read the records below
+     * that offset, because retention has deleted them.
      *
      * @param coversBelow offset below which the snapshot replaces all records
      * @param part number of this part, from 0
--- a/core/src/main/java/org/quetzalshunt/core/configuration/RawRecord.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/RawRecord.java
@@ -1,7 +1,10 @@
 package org.quetzalshunt.core.configuration;
 
 /**
- * A record of the configuration stream with its offset. The original bytes are retained so that checkpoints contain the
- * record unchanged.
+ * A decodable record, valid or not, at its position in the stream. Its bytes are kept so that checkpoints contain it
+ * unchanged.
+ *
+ * @param offset offset of the record
+ * @param record bytes of the record
  */
 record RawRecord(long offset, byte[] record) {}
--- a/core/src/main/java/org/quetzalshunt/core/log/CheckpointSchedule.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/CheckpointSchedule.java
@@ -7,8 +7,8 @@
  * first one publishes, and the others draw a new time when they read that checkpoint. Two concurrent checkpoints do no
  * harm, since a checkpoint never replaces newer state.
  *
- * <p>Checkpoints preserve state that is older than the log's retention. Without them a process that starts later would not
- * get, for instance, a document that was put months ago.
+ * <p>Checkpoints preserve state that is older than the log's retention. Without them a process that starts later would
+ * not get, for instance, a document that was put months ago.
  */
 public final class CheckpointSchedule {
     /** Minimum number of checkpoints per retention period, provided that one process runs for a whole interval. */
--- a/core/src/main/java/org/quetzalshunt/core/log/LogFold.java
+++ b/core/src/main/java/org/quetzalshunt/core/log/LogFold.java
@@ -15,8 +15,8 @@
     void apply(long offset, byte[] record, int indexInBatch);
 
     /**
-     * Called when retention has deleted records that were not read. The state may be outdated and has to be rebuilt from
-     * the next checkpoint.
+     * Called when retention has deleted records that were not read. The state may be outdated and has to be rebuilt
+     * from the next checkpoint.
      *
      * @param firstKept oldest retained offset, at which reading continues
      */
--- a/core/src/main/java/org/quetzalshunt/core/membership/MemberHeartbeat.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/MemberHeartbeat.java
@@ -7,8 +7,8 @@
  *
  * @param vm name of the VM that the heartbeat describes
  * @param incarnation incarnation of that VM
- * @param sequence number of the heartbeat, by which newer heartbeats are distinguished from older ones; 0 for a heartbeat without
- *     one, which always counts as new and is not forwarded
+ * @param sequence number of the heartbeat, by which newer heartbeats are distinguished from older ones; 0 for a
+ *     heartbeat without one, which always counts as new and is not forwarded
  * @param configurationNext offset of the first configuration record that the VM has not read
  * @param configurationAgeMillis time since the VM last read the configuration stream to its end
  * @param leaving whether the VM is shutting down
--- a/core/src/main/java/org/quetzalshunt/core/membership/MembershipSettings.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/MembershipSettings.java
@@ -26,8 +26,8 @@
     private static final long DEFAULT_TIMEOUT_MILLIS = 4_000;
 
     /**
-     * The more entries share the digests, the less often a heartbeat of each entry arrives. The design note contains the
-     * measurements.
+     * The more entries share the digests, the less often a heartbeat of each entry arrives. The design note contains
+     * the measurements.
      */
     private static final long TIMEOUT_MILLIS_PER_ENTRY = 45;
 
--- a/core/src/main/java/org/quetzalshunt/core/policy/Mechanism.java
+++ b/core/src/main/java/org/quetzalshunt/core/policy/Mechanism.java
@@ -46,15 +46,15 @@
      */
     PEER_HISTORY,
     /**
-     * Gateways announce exhausted budgets. Without it: each gateway detects them only by a request, which costs one rate
-     * token.
+     * Gateways announce exhausted budgets. Without it: each gateway detects them only by a request, which costs one
+     * rate token.
      */
     SHARED_EXHAUSTION,
     /** A program starts only on a rate token that is available now. Without it: its start may wait for the next one. */
     STARTS_WITHOUT_WAIT,
     /**
-     * Programs of the highest priority may wait longer for a rate token before they start. Without it: as long as others.
-     * Has no effect while {@link #STARTS_WITHOUT_WAIT} is enabled.
+     * Programs of the highest priority may wait longer for a rate token before they start. Without it: as long as
+     * others. Has no effect while {@link #STARTS_WITHOUT_WAIT} is enabled.
      */
     URGENT_STARTS;
 
--- a/core/src/main/java/org/quetzalshunt/core/program/Program.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/Program.java
@@ -26,8 +26,8 @@
     /** Tokens spent by this program and, for a root, by its sub-agents. */
     long spentTokens;
     /**
-     * Recorded upper bound on the cost of the next turn. Charged, within the remaining budget, when the shard is claimed
-     * without a release by the former owner.
+     * Recorded upper bound on the cost of the next turn. Charged, within the remaining budget, when the shard is
+     * claimed without a release by the former owner.
      */
     long recordedReservationTokens;
 
--- a/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointPublisher.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/ShardCheckpointPublisher.java
@@ -6,9 +6,9 @@
 import org.quetzalshunt.core.log.StreamSession;
 
 /**
- * Publishes checkpoints of an owned shard, so that its state can be rebuilt after retention has deleted older records. The
- * next part is submitted only when the backlog is small, so that records of completed turns are not delayed by a large
- * checkpoint.
+ * Publishes checkpoints of an owned shard, so that its state can be rebuilt after retention has deleted older records.
+ * The next part is submitted only when the backlog is small, so that records of completed turns are not delayed by a
+ * large checkpoint.
  */
 public final class ShardCheckpointPublisher {
     private static final int PART_BYTES = 256 * 1024;
--- a/core/src/main/java/org/quetzalshunt/core/quarantine/CrashTable.java
+++ b/core/src/main/java/org/quetzalshunt/core/quarantine/CrashTable.java
@@ -18,8 +18,8 @@
     public static final int QUARANTINE_CRASHES = 3;
 
     /**
-     * Time after the last crash of a request after which its entry expires. Callers retry within seconds, and an endpoint
-     * that was repaired should be tried again.
+     * Time after the last crash of a request at which its entry expires. Callers retry within seconds, and an
+     * endpoint that was repaired should be tried again.
      */
     public static final long RETENTION_MILLIS = 120_000;
 
