--- a/core/src/main/java/org/quetzalshunt/core/configuration/Freshness.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/Freshness.java
@@ -57,7 +57,7 @@
     /**
      * Processes a peer's report on its configuration.
      *
-     * @param peer name of the peer; a peer that is not listed is remembered until the next list
+     * @param peer name of the peer; the report of a peer that is not listed is kept until the next list
      * @param configurationNext offset that the peer applies next
      * @param configurationAgeMillis age of the peer's own last read of the log; negative if it has none
      * @param reportedAfterMillis time on this node's clock before the report was made: when this node sent the message
--- a/core/src/main/java/org/quetzalshunt/core/quota/RenewalInterval.java
+++ b/core/src/main/java/org/quetzalshunt/core/quota/RenewalInterval.java
@@ -4,8 +4,8 @@
  * Interval at which a VM reads the heartbeats of its peers.
  *
  * <p>Load pattern: all VMs return at once, after they were killed or the store was unavailable. No tokens are granted
- * until the owners hold their shares again. At the interval of a settled VM that would take seconds, in which callers
- * are rejected while the endpoints are idle.
+ * until the owners hold their shares again. At the interval of a settled VM this would take seconds, during which
+ * callers are rejected while the endpoints are idle.
  */
 public final class RenewalInterval {
     /** Detects VMs that join or leave; one read per second costs little. */
--- a/core/src/test/java/org/quetzalshunt/core/configuration/FreshnessTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/configuration/FreshnessTest.java
@@ -9,8 +9,8 @@
 
 /**
  * A node that is cut off must stop serving, or a withdrawn key would work for as long as the link is cut. During an
- * outage of the log itself, in which no key can be withdrawn, all nodes must go on serving. Only its peers' reports let
- * a node distinguish the two cases.
+ * outage of the log itself, in which no key can be withdrawn, all nodes must continue to serve. Only its peers' reports
+ * let a node distinguish the two cases.
  */
 final class FreshnessTest {
     private static final long LIMIT_MILLIS = 2_000;
--- a/core/src/test/java/org/quetzalshunt/core/log/StreamSessionTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/log/StreamSessionTest.java
@@ -67,8 +67,8 @@
 
     /**
      * A reader is paused for longer than the log's retention. When it resumes, the log returns later records than
-     * requested. Applying them to the old state would give a wrong state, so the gap must be reported to the fold
-     * first.
+     * requested. Applying them to the old state would give a wrong state, so the gap must be reported to the state
+     * machine first.
      */
     @Test
     void aGapIsReportedToAReaderPausedBeyondRetention() {
