--- a/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
+++ b/core/src/test/java/org/quetzalshunt/core/program/ShardNode.java
@@ -16,8 +16,8 @@
 import org.quetzalshunt.core.vm.VmId;
 
 /**
- * Test fixture: an entry process with one shard on a {@link FakeLog}. Started turns and calls are recorded, and the test
- * completes them.
+ * Test fixture: an entry process with one shard on a {@link FakeLog}. Started turns and calls are recorded, and the
+ * test completes them.
  */
 final class ShardNode implements ShardListener {
     static final String ACCOUNT = "arusha";
