--- a/core/src/main/java/org/quetzalshunt/core/configuration/ConfigurationChange.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/ConfigurationChange.java
@@ -6,7 +6,10 @@
 
 /** A decoded record of the configuration stream. */
 public sealed interface ConfigurationChange {
-    /** Stands for no version: the base of a first document, and the version of a service that has none. */
+    /**
+     * Version of a service that has no document, and base version of its first document. Also stands for the absence of
+     * a limit generation.
+     */
     long NO_VERSION = -1;
 
     /**
@@ -15,11 +18,11 @@
      * @param service name of the service
      * @param basedOnVersion version that the change replaces; {@link #NO_VERSION} for a service without a known version
      * @param team team on whose behalf the change is made
-     * @param author person or tool that makes the change
-     * @param putMillis time of the change, by the clock of the VM that accepted it
+     * @param author author of the change; the team, for changes made through the admin API
+     * @param putMillis time at which the change was submitted, by the clock of the VM that received it
      * @param changeId unique id of the change, by which its outcome can be found
      * @param document new document; empty to remove the service
-     * @param sourceText document as written by its author
+     * @param sourceText source text of the document as submitted; empty for a removal
      */
     record DocumentChange(
             String service,
@@ -33,7 +36,7 @@
             implements ConfigurationChange {}
 
     /**
-     * An audit entry, by which operators see how the system handled an event.
+     * An audit entry on how the system handled an event. Read from existing streams; this version writes none.
      *
      * @param author person or component that caused the event
      * @param notedMillis time of the entry, by the clock of the VM that wrote it
@@ -47,7 +50,7 @@
     /**
      * Replaces the set of VMs that share the client accounts' rates.
      *
-     * @param generation VMs with a share, and the generation that this one replaces
+     * @param generation new generation: the VMs with a share, and the offset of the generation that it replaces
      * @param notedMillis time of the proposal, by the proposer's clock
      */
     record LimitGenerationChange(LimitGenerationRecord generation, long notedMillis) implements ConfigurationChange {}
@@ -64,7 +67,7 @@
     record CheckpointChange(long coversBelow, int part, int parts, byte[] state) implements ConfigurationChange {}
 
     /**
-     * A record of another subsystem, which the configuration ignores.
+     * A record that belongs to another subsystem. The configuration ignores such records.
      *
      * @param kind type of the subsystem's record
      * @param payload bytes of the record
--- a/core/src/main/java/org/quetzalshunt/core/configuration/VersionedDocument.java
+++ b/core/src/main/java/org/quetzalshunt/core/configuration/VersionedDocument.java
@@ -10,9 +10,9 @@
  * @param version offset of the record that put it
  * @param document the document; empty if this version removed the service
  * @param team team that owns it
- * @param author person or tool that put it
- * @param putMillis time at which it was put, by the clock of the VM that accepted it
- * @param sourceText document as written by its author
+ * @param author author of the change that put it; the team, for changes made through the admin API
+ * @param putMillis time at which it was put, by the clock of the VM that received the change
+ * @param sourceText source text of the document as submitted; empty if this version removed the service
  */
 public record VersionedDocument(
         String service,
--- a/core/src/main/java/org/quetzalshunt/core/decision/queue/WaitingItem.java
+++ b/core/src/main/java/org/quetzalshunt/core/decision/queue/WaitingItem.java
@@ -2,7 +2,9 @@
 
 import org.quetzalshunt.core.decision.WorkItem;
 
-/** A queued request. A removed request stays in its heap until it reaches the head, where it is skipped. */
+/**
+ * A queued request. A removed request stays in the heap of its account until it reaches the head, where it is skipped.
+ */
 public final class WaitingItem {
     private final WorkItem item;
     private final long expectedWork;
@@ -26,12 +28,15 @@
         return item;
     }
 
-    /** Expected work, which counts towards the queued work of its account. */
+    /** Expected work in the units of {@link WorkCost}, which counts towards the queued work of its account. */
     public long expectedWork() {
         return expectedWork;
     }
 
-    /** Whether its program is in progress, so that the work done so far would be lost if the request failed. */
+    /**
+     * Whether the policy counted the request's program as in progress when the request was queued. The work done so far
+     * for such a program would be lost if the request failed.
+     */
     public boolean isProgramInProgress() {
         return programInProgress;
     }
--- a/core/src/main/java/org/quetzalshunt/core/limit/PartMover.java
+++ b/core/src/main/java/org/quetzalshunt/core/limit/PartMover.java
@@ -12,8 +12,8 @@
 import org.quetzalshunt.core.vm.VmId;
 
 /**
- * Transfers parts between this entry and others: on request, when they are not needed here, and all of them in a
- * graceful shutdown.
+ * Transfers parts of the accounts' rates and bursts between this VM and other entries: on request, when they are not
+ * needed here, and all of them in a graceful shutdown.
  */
 final class PartMover {
     /**
@@ -25,11 +25,15 @@
     /** Interval of the search for idle accounts. */
     private static final long IDLE_SWEEP_MILLIS = 1_000;
 
-    /** An entry that holds this many parts is the only one with traffic and keeps them. */
+    /**
+     * An entry with at least this many parts of an account returns no surplus, since the other entries have almost no
+     * traffic of the account.
+     */
     private static final long NEARLY_ALL_PARTS = ALL_PARTS * 15 / 16;
 
     /**
-     * Divisor of the parts that are first sent to a VM that has not responded recently, and that may be lost with it.
+     * A VM that has not acknowledged a transfer recently first gets the parts divided by this number, which limits the
+     * loss if it has crashed.
      */
     private static final int PROBE_DIVISOR = 16;
 
@@ -56,7 +60,10 @@
         ledger.clear();
     }
 
-    /** Transfers spare tokens to the requester. A home forwards the request for the remainder. */
+    /**
+     * Transfers parts and tokens to the requester if the lease is valid. A request that came directly from the
+     * requester is then forwarded to other holders for the remainder.
+     */
     void onRequest(long nowMillis, Bucket bucket, Request request) {
         long sentMicroTokens = 0;
         if (lease.isValid(nowMillis)) {
@@ -99,7 +106,7 @@
         ledger.retransmit(nowMillis, sender::accept);
     }
 
-    /** Adds parts to a bucket. Counts an invariant violation if they exceed the whole. */
+    /** Adds parts to a bucket, even if the sum exceeds {@link LimitMessage#ALL_PARTS}, which counts as a violation. */
     void addParts(long nowMillis, Bucket bucket, long parts, long microTokens) {
         if (bucket.parts() + parts > ALL_PARTS) {
             invariantViolations++;
@@ -107,13 +114,13 @@
         bucket.addParts(nowMillis, parts, microTokens);
     }
 
-    /** Returns unneeded parts to the home, where other entries can request them. */
+    /** Transfers surplus parts to the VM from which other entries can request them, usually the home. */
     void returnSurplus(long nowMillis, Bucket bucket) {
         if (bucket.parts() == 0 || bucket.parts() >= NEARLY_ALL_PARTS) {
             return;
         }
         bucket.accrue(nowMillis);
-        // A part with a capacity below one token fills up but can never serve a waiting request.
+        // A bucket with a capacity below one token fills up but can never serve a waiting request.
         boolean canNeverServe = bucket.isFull() && !bucket.hasToken();
         if (!bucket.waiting.isEmpty() && !canNeverServe) {
             return;
@@ -125,9 +132,10 @@
     }
 
     /**
-     * Transfers parts that were not requested. Guards against parts sent to a home that has just died, which would
-     * cause refusals far beyond the dead entry's own share until the next generation. All parts go only to a VM that
-     * acknowledged a transfer recently. Any other VM first gets a small fraction.
+     * Transfers parts that were not requested. Unless this entry is shutting down, a recipient that has not
+     * acknowledged a transfer recently gets only a small fraction, and nothing while a transfer to it is pending.
+     * Otherwise, all parts sent to a home that has just crashed would be lost until the next generation, which would
+     * cause refusals far beyond the crashed entry's own share.
      */
     private void sendUnrequested(long nowMillis, Bucket bucket, VmId recipient, TransferPolicy.TransferAmount amount) {
         if (leaving || ledger.isResponsive(nowMillis, recipient)) {
@@ -145,7 +153,10 @@
         return generation.home(key).filter(self::equals).isPresent();
     }
 
-    /** Returns the parts of idle accounts to their homes. An entry that is shutting down transfers all parts. */
+    /**
+     * Returns the parts of idle accounts to their homes, if the lease is valid. While this entry is shutting down,
+     * every account without waiting requests counts as idle.
+     */
     void sweepIdle(long nowMillis, List<Bucket> buckets) {
         if (!leaving && nowMillis < nextIdleSweepMillis) {
             return;
@@ -166,8 +177,8 @@
     }
 
     /**
-     * The VM that receives parts not needed here: the account's home or, if the home is unavailable or shutting down,
-     * any live member.
+     * The VM that receives unneeded parts: the account's home or, if the home is unavailable or is this VM, a live
+     * member chosen by rendezvous hashing. Empty if this VM is the home and is not shutting down.
      */
     private Optional<VmId> recipient(AccountKey key) {
         Optional<VmId> home = generation.home(key);
--- a/core/src/main/java/org/quetzalshunt/core/membership/MemberHeartbeat.java
+++ b/core/src/main/java/org/quetzalshunt/core/membership/MemberHeartbeat.java
@@ -3,14 +3,16 @@
 import java.util.List;
 
 /**
- * The state that one VM announces in its heartbeat, received directly or forwarded by another VM.
+ * State of one VM as carried by heartbeats: its own, or those of other VMs that it received or forwards.
  *
  * @param vm name of the VM that the heartbeat describes
  * @param incarnation incarnation of that VM
- * @param sequence number of the heartbeat, by which newer heartbeats are distinguished from older ones; 0 for a
- *     heartbeat without one, which always counts as new and is not forwarded
+ * @param sequence sequence number, which increases with each heartbeat round of an incarnation; 0 if the heartbeat has
+ *     none, in which case it is never rejected as outdated within its incarnation. The state of a VM from which no
+ *     numbered heartbeat was received in its incarnation is not forwarded.
  * @param configurationNext offset of the first configuration record that the VM has not read
- * @param configurationAgeMillis time since the VM last read the configuration stream to its end
+ * @param configurationAgeMillis time between the VM's last read of the configuration stream to its end and the
+ *     sending of the heartbeat
  * @param leaving whether the VM is shutting down
  * @param ownedShards shards that the VM owns
  */
@@ -23,7 +25,7 @@
         boolean leaving,
         List<Integer> ownedShards) {
 
-    /** Creates the state of a heartbeat without a sequence number, received directly from the VM. */
+    /** Creates the state of a heartbeat without a sequence number. */
     public static MemberHeartbeat of(
             String vm,
             long incarnation,
--- a/core/src/main/java/org/quetzalshunt/core/program/TurnRequest.java
+++ b/core/src/main/java/org/quetzalshunt/core/program/TurnRequest.java
@@ -14,7 +14,7 @@
  * @param clientAccount client account that the caller authenticated as
  * @param turn turn number that the caller expects, counted from 1; empty for any
  * @param idempotencyKey key that is the same when the caller repeats the request
- * @param digest digest of the whole request
+ * @param digest SHA-256 digest of the request body
  * @param messages messages in canonical form
  * @param mode whether the messages include the history
  * @param maximumOutputTokens limit on generated tokens set by the caller; 0 for the service's default
--- a/core/src/main/java/org/quetzalshunt/core/routing/PrefixPlacement.java
+++ b/core/src/main/java/org/quetzalshunt/core/routing/PrefixPlacement.java
@@ -5,41 +5,46 @@
 import org.quetzalshunt.core.membership.Rendezvous;
 
 /**
- * Assigns a prompt part that is not cached anywhere to one endpoint. All VMs choose the same endpoint without
- * communication, by rendezvous hashing over the endpoints that hold the most preceding parts.
+ * Assigns the first prompt part that no open endpoint is known to have cached to one endpoint. VMs with the same
+ * endpoints and prefix locations choose the same one without communication, by rendezvous hashing over the endpoints
+ * that hold the most preceding parts.
  *
- * <p>Load patterns: all VMs start at once, and each of them would have the common parts prefilled at a different
- * endpoint; turns of a program reach different VMs faster than the prefix locations do; VMs restart and have lost all
- * prefix locations, while the engines still hold the prefixes.
+ * <p>Guards against repeated prefill of shared prefixes at different endpoints when all VMs start together, against
+ * turns that arrive at a VM before the prefix locations of the previous turn, and against the loss of all prefix
+ * locations in a restart while the engines still hold the prefixes.
  */
 final class PrefixPlacement {
     /**
      * The endpoint that a part is assigned to.
      *
      * @param endpoint id of the endpoint
-     * @param creditedTokens size of the part, which the selection counts as cached there
+     * @param creditedTokens tokens of the part; the selection treats them as already cached at the endpoint
      */
     record Assignment(String endpoint, long creditedTokens) {}
 
-    /** An engine that was at least this old when this process started has most likely cached the common parts. */
+    /**
+     * An engine that was running for longer than this when this process started has most likely cached the first part
+     * of its prompts, which they share.
+     */
     private static final long WARM_AGE_MILLIS = 10_000;
 
-    /** Time from the first selection in which a process relies on this assumption; its own records suffice later. */
+    /** Duration of this assumption, from its first use; later, the recorded prefix locations suffice. */
     private static final long ASSUMPTION_MILLIS = 20_000;
 
     private final long startedMillis;
     private long assumedUntilMillis = Long.MAX_VALUE;
 
     /**
-     * Creates the placement.
-     *
      * @param startedMillis when the process started, in Unix milliseconds
      */
     PrefixPlacement(long startedMillis) {
         this.startedMillis = startedMillis;
     }
 
-    /** Assigns the first part of a prompt that no endpoint holds; empty when some endpoint holds the whole prompt. */
+    /**
+     * Returns the endpoint for the first part that no open endpoint has cached; empty if one has cached the whole
+     * prompt, or if none is open.
+     */
     Optional<Assignment> assign(long nowMillis, List<EndpointRow> open, List<PrefixPart> prompt) {
         int most = 0;
         for (EndpointRow row : open) {
@@ -60,14 +65,17 @@
         return recorded == 0 && prompt.size() > 1 && isAssumedWarm(nowMillis, row) ? 1 : recorded;
     }
 
-    /** Returns the tokens that need prefill at an endpoint, without the common part if it is assumed to be cached. */
+    /** Returns the tokens that need prefill at an endpoint, without the first part if it is assumed to be cached. */
     long uncachedTokens(long nowMillis, EndpointRow row, List<PrefixPart> prompt) {
         boolean commonCached =
                 prompt.size() > 1 && row.prefixCache.cachedParts(prompt) == 0 && isAssumedWarm(nowMillis, row);
         return row.prefixCache.uncachedTokens(commonCached ? prompt.subList(1, prompt.size()) : prompt);
     }
 
-    /** Whether an endpoint is assumed to hold the common parts because it was running long before this process. */
+    /**
+     * Whether the first part of a prompt is assumed to be cached at an endpoint: it started more than 10 s before this
+     * process, and the period in which the process relies on the assumption has not ended. The first call starts it.
+     */
     boolean isAssumedWarm(long nowMillis, EndpointRow row) {
         if (assumedUntilMillis == Long.MAX_VALUE) {
             assumedUntilMillis = nowMillis + ASSUMPTION_MILLIS;
--- a/core/src/test/java/org/quetzalshunt/core/attempt/BrokenAnswerTest.java
+++ b/core/src/test/java/org/quetzalshunt/core/attempt/BrokenAnswerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quetzalshunt.core.document.ServiceKind;
 
-/** Results and retries of attempts whose response the endpoint did not complete. */
+/** Results, resumes and resends of attempts whose response was cut, refused, or too large to retain. */
 final class BrokenAnswerTest {
     // A proxy between sidecar and engine drops the connection during a response, or closes it normally without the end
     // marker. The engine still has the request, so the caller must get the rest without duplicate chunks and without an
@@ -39,8 +39,8 @@
         assertThat(harness.outputsOf(GateOutput.SendHead.class)).hasSize(1);
     }
 
-    // A response is cut after every token, more often than resumes without progress are allowed. A resume that brings a
-    // token must count as progress, so that the response is completed.
+    // A response is cut after each of its ten tokens, which exceeds the limit of consecutive resumes without progress.
+    // A resume that brings a token must count as progress, so that the response is completed.
     @Test
     void repeatedlyCutResponseIsCompleted() {
         GateHarness harness = GateHarness.of(ServiceKind.ENGINE).start(true).head(0, 200);
@@ -52,8 +52,8 @@
         assertThat(harness.result(LINK).orElseThrow().chunks()).isEqualTo(10);
     }
 
-    // An engine dies while it runs a request, and the resumes get no answer. The owner must get ENDPOINT_FAILED with
-    // RAN, which counts against a request that crashes engines.
+    // An engine dies while it runs a request, and the resumes get no answer. The owner must get ENDPOINT_FAILED and
+    // RAN, by which it counts the engine failures of each request to detect requests that crash engines.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void deadEngineIsReportedAsFailedWhileRunning(boolean refusesConnections) {
@@ -100,8 +100,8 @@
         assertThat(harness.outcome(LINK)).isEqualTo(outcome);
     }
 
-    // The result of a refusal before the first token decides whether another endpoint may be tried, so NOT_RUN must be
-    // true.
+    // Another endpoint may be tried after NOT_RUN, so a refusal before the first token must be reported as NOT_RUN only
+    // if its status shows that the engine did not run the request.
     @ParameterizedTest
     @CsvSource({
         "503, ENDPOINT_REFUSED NOT_RUN, 0",
@@ -109,7 +109,7 @@
         "400, ENDPOINT_REFUSED NOT_RUN, 1",
         "500, ENDPOINT_REFUSED RAN, 1"
     })
-    void refusalIsReportedAsNotRunOnlyIfTrue(int status, String outcome, int chunks) {
+    void refusalIsReportedAsNotRunOnlyIfRequestDidNotRun(int status, String outcome, int chunks) {
         GateHarness harness = GateHarness.of(ServiceKind.ENGINE)
                 .start(true)
                 .head(0, status)
@@ -127,7 +127,7 @@
         assertThat(harness.outcome(LINK)).isEqualTo("ENDPOINT_FAILED NOT_RUN");
     }
 
-    // The connection breaks while a plain service runs a call. For a non-repeatable call, such as a billing, an unknown
+    // The connection breaks while a plain service runs a call. For a non-repeatable call, such as a payment, an unknown
     // outcome is better than a second run. A repeatable call is resent if no part of a response was forwarded.
     @ParameterizedTest
     @CsvSource({
--- a/standin/src/main/java/org/quetzalshunt/standin/control/RunLog.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/control/RunLog.java
@@ -14,8 +14,8 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * Log of the requests that a stand-in has executed and of the distinct header lines that it has received. Both are
- * bounded: the oldest entries are removed first.
+ * Log of the runs, which are executions of requests that a stand-in has started, and of the distinct header lines that
+ * it has received. Both are bounded: the entries that were added first are removed first.
  */
 public final class RunLog {
     private static final int MAXIMUM_RUNS = 100_000;
@@ -49,7 +49,7 @@
         return run;
     }
 
-    /** Number of logged runs with this idempotency key. */
+    /** Number of logged runs with this idempotency key; runs without one count under the empty text. */
     public int count(String idempotencyKey) {
         return runCountsByKey.get(idempotencyKey);
     }
--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreShard.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreShard.java
@@ -52,7 +52,7 @@
         return newest.tailMap(key, false);
     }
 
-    /** Removes all records except for the newest of each key. */
+    /** Removes all records, as retention does. The table of the newest record of each key is unaffected. */
     void dropHistory() {
         firstOffset = endOffset();
         records.clear();
--- a/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreStandin.java
+++ b/standin/src/main/java/org/quetzalshunt/standin/fleet/StoreStandin.java
@@ -22,7 +22,7 @@
 import org.quetzalshunt.wire.json.Json;
 
 /**
- * Server that stands in for the store of the platform, in memory: appends with an optional condition on the offset,
+ * In-memory substitute for the platform's store, served over HTTP: appends with an optional condition on the offset,
  * reads that wait for new records, and queries for the newest record of each key.
  */
 public final class StoreStandin implements AutoCloseable {
@@ -56,7 +56,7 @@
         onLoop(() -> fault = newFault);
     }
 
-    /** Writes a record, as the operator or a server does. */
+    /** Appends a record to partition 0 of a topic, as the operator or a server does. */
     public void put(String topic, String key, byte[] value) {
         onLoop(() -> {
             shard(topic, "0").append(record(key, value));
@@ -64,12 +64,15 @@
         });
     }
 
-    /** Removes a key, as when the entry of a server expires. */
+    /** Appends a record with an empty value, which removes the key, as when a server's registration expires. */
     public void remove(String topic, String key) {
         put(topic, key, new byte[0]);
     }
 
-    /** Removes all records of every partition except for the newest of each key. */
+    /**
+     * Removes all records of every partition, as retention does. Reads below the end offset then get status 410;
+     * queries for the newest record of each key are unaffected.
+     */
     public void dropHistory() {
         onLoop(() -> {
             shards.values().forEach(StoreShard::dropHistory);
@@ -77,7 +80,10 @@
         });
     }
 
-    /** Number of appends stored so far. */
+    /**
+     * Number of append calls stored so far, each of one or more records. Records written with {@link #put} and
+     * {@link #remove} are not counted.
+     */
     public long appends() {
         return onLoop(() -> appends);
     }
